--- a/Makefile
+++ b/Makefile
@@ -12,6 +12,7 @@
 
 lint:
 	$(PYTHON) -m ruff check chutefork tests
+	$(PYTHON) -m ruff format --check chutefork tests
 
 run:
 	exec $(PYTHON) -m chutefork
--- a/chutefork/__main__.py
+++ b/chutefork/__main__.py
@@ -41,8 +41,9 @@
         self.place = UnixPlace()
         self.driver = Driver(State.fresh(config.settings), clock)
         self.front = CallerFront(self.driver, config, clock)
-        self.legs = ExchangeLegs(self.driver, self.front, clock, config.connect_timeout_s,
-                                 config.idle_close_s)
+        self.legs = ExchangeLegs(
+            self.driver, self.front, clock, config.connect_timeout_s, config.idle_close_s
+        )
         self.driver.attach(self.front, self.legs)
         self.channel = Channel(config.channel, config.cursor, self.told, clock)
 
--- a/chutefork/config.py
+++ b/chutefork/config.py
@@ -87,26 +87,46 @@
     for key, values in (("widths", widths), ("call_length_s", lengths)):
         if len(values) != len(services):
             raise ConfigError(f"settings.family_info.{key}: {len(values)} values, {len(services)} classes")
-    classes = tuple(api.CallClass(
-        aim_s=item.number("target_s"), deadline_s=item.number("deadline_s"), worth=item.number("worth"),
-        late_worth_share=item.number("late_worth"), width_circuits=int(widths[place]),
-        length_s=lengths[place], pools=()) for place, item in enumerate(services))
+    classes = tuple(
+        api.CallClass(
+            aim_s=item.number("target_s"),
+            deadline_s=item.number("deadline_s"),
+            worth=item.number("worth"),
+            late_worth_share=item.number("late_worth"),
+            width_circuits=int(widths[place]),
+            length_s=lengths[place],
+            pools=(),
+        )
+        for place, item in enumerate(services)
+    )
     accounts = node.nodes("accounts") if "accounts" in node.value else []
     if family.text("network_form") != "network":
         raise ConfigError("settings.family_info.network_form: only 'network' is served")
     try:
         settings = api.Settings(
-            seed=seed, own_number=int(family.number("self_no")), controllers=int(node.number("balancers")),
-            pools_form=False, classes=classes,
+            seed=seed,
+            own_number=int(family.number("self_no")),
+            controllers=int(node.number("balancers")),
+            pools_form=False,
+            classes=classes,
             tenants=tuple(api.Tenant(item.number("quota_per_s")) for item in accounts),
-            over_share_worth=node.number("over_share_worth"), release_s=family.number("release_s"),
-            resend_s=family.number("retransmit_s"), max_attempts=int(limits.number("max_attempts")),
-            probes_allowed=limits.flag("probes"), messages_allowed=limits.flag("peers"),
-            hold_off_allowed=limits.flag("retry_after"), max_hold_off_s=limits.number("max_retry_after_s"),
-            list_on_request=False, ask_within_s=rules.number("ask_within_s"),
-            drain_grace_s=rules.number("stop_sending_within_s"), cold_share=rules.number("cold_share"),
-            warm_up_s=rules.number("warm_up_s"), tip_multiple=rules.number("tip_multiple"),
-            fall_s=rules.number("fall_s"), tick_s=node.number("tick_s"))
+            over_share_worth=node.number("over_share_worth"),
+            release_s=family.number("release_s"),
+            resend_s=family.number("retransmit_s"),
+            max_attempts=int(limits.number("max_attempts")),
+            probes_allowed=limits.flag("probes"),
+            messages_allowed=limits.flag("peers"),
+            hold_off_allowed=limits.flag("retry_after"),
+            max_hold_off_s=limits.number("max_retry_after_s"),
+            list_on_request=False,
+            ask_within_s=rules.number("ask_within_s"),
+            drain_grace_s=rules.number("stop_sending_within_s"),
+            cold_share=rules.number("cold_share"),
+            warm_up_s=rules.number("warm_up_s"),
+            tip_multiple=rules.number("tip_multiple"),
+            fall_s=rules.number("fall_s"),
+            tick_s=node.number("tick_s"),
+        )
     except ValueError as fault:
         raise ConfigError(f"settings: {fault}") from None
     names = tuple(item.text("name") for item in services)
@@ -133,13 +153,20 @@
     channel = root.text("channel")
     address_of(channel, "channel")
     return Config(
-        name=root.text("name"), listen=address_of(root.text("listen"), "listen"), channel=channel,
-        cursor=int(known.number("cursor")), known=known.get("cmds", list), settings=settings,
-        class_names=class_names, tenant_names=tenant_names,
+        name=root.text("name"),
+        listen=address_of(root.text("listen"), "listen"),
+        channel=channel,
+        cursor=int(known.number("cursor")),
+        known=known.get("cmds", list),
+        settings=settings,
+        class_names=class_names,
+        tenant_names=tenant_names,
         connect_timeout_s=inner.node("limits").number("connect_timeout_s"),
         deadline_s=max(item.deadline_s for item in settings.classes),
         idle_close_s=inner.node("limits").number("idle_close_s", 600.0),
-        sockets=int(limits.number("sockets", 1024)), memory_mb=limits.number("memory_mb", 192))
+        sockets=int(limits.number("sockets", 1024)),
+        memory_mb=limits.number("memory_mb", 192),
+    )
 
 
 def load(path: str) -> Config:
@@ -151,8 +178,11 @@
         raise ConfigError(f"configuration: not usable: {type(fault).__name__}: {fault}") from None
 
 
-STATES = {"Ready": api.SwitchState.READY, "Terminating": api.SwitchState.DRAINING,
-          "Gone": api.SwitchState.GONE}
+STATES = {
+    "Ready": api.SwitchState.READY,
+    "Terminating": api.SwitchState.DRAINING,
+    "Gone": api.SwitchState.GONE,
+}
 
 
 def hubs_of(command: dict, place: UnixPlace) -> m.HubsListed | None:
@@ -167,8 +197,15 @@
     for item in nodes["endpoints"]:
         try:
             address_of(item["address"], "address")
-            hubs.append(m.Hub(str(item["name"]), int(item["group"]), STATES[item["status"]], item["address"],
-                              place.monotonic_us(float(item.get("since_ms", 0)))))
+            hubs.append(
+                m.Hub(
+                    str(item["name"]),
+                    int(item["group"]),
+                    STATES[item["status"]],
+                    item["address"],
+                    place.monotonic_us(float(item.get("since_ms", 0))),
+                )
+            )
         except (ConfigError, ValueError, KeyError, TypeError, AttributeError, OverflowError) as fault:
             log(f"bad-endpoint detail={f'{type(fault).__name__}: {fault}'[:160]!r}")
     kind = api.ListKind.COMPLETE if nodes.get("snapshot") else api.ListKind.CHANGES
--- a/chutefork/consul.py
+++ b/chutefork/consul.py
@@ -60,8 +60,9 @@
 class Watch(Asking):
     """One blocking query, asked again and again; `told` gets each new answer."""
 
-    def __init__(self, config: ConsulConfig, clock: TurnReactor, path: str,
-                 told: Callable[[list], None]) -> None:
+    def __init__(
+        self, config: ConsulConfig, clock: TurnReactor, path: str, told: Callable[[list], None]
+    ) -> None:
         super().__init__(config, clock)
         self.path = path
         self.told = told
@@ -91,8 +92,15 @@
 class Registration(Asking):
     """This program's own service with a TTL check; the check is passed well before it lapses."""
 
-    def __init__(self, config: ConsulConfig, clock: TurnReactor, name: str, listen: tuple[str, int],
-                 meta: dict[str, str], ready: Callable[[], bool]) -> None:
+    def __init__(
+        self,
+        config: ConsulConfig,
+        clock: TurnReactor,
+        name: str,
+        listen: tuple[str, int],
+        meta: dict[str, str],
+        ready: Callable[[], bool],
+    ) -> None:
         super().__init__(config, clock)
         self.id = f"{config.register}-{name}"
         self.listen = listen
@@ -114,11 +122,20 @@
             self.step = "register"
             path = "/v1/agent/service/register"
             ttl = f"{self.config.ttl_s:g}s"
-            body = json.dumps({
-                "ID": self.id, "Name": self.config.register, "Address": self.listen[0],
-                "Port": self.listen[1], "Meta": self.meta,
-                "Check": {"CheckID": f"service:{self.id}", "TTL": ttl,
-                          "DeregisterCriticalServiceAfter": "10m"}}).encode()
+            body = json.dumps(
+                {
+                    "ID": self.id,
+                    "Name": self.config.register,
+                    "Address": self.listen[0],
+                    "Port": self.listen[1],
+                    "Meta": self.meta,
+                    "Check": {
+                        "CheckID": f"service:{self.id}",
+                        "TTL": ttl,
+                        "DeregisterCriticalServiceAfter": "10m",
+                    },
+                }
+            ).encode()
         else:
             self.step = "check"
             result = "pass" if self.ready() else "warn"
@@ -155,16 +172,19 @@
 class ConsulMembership:
     """Hubs are the instances that the catalogue lists; their states are what their health says."""
 
-    def __init__(self, config: ConsulConfig, clock: TurnReactor, place: UnixPlace,
-                 told: Callable[[m.HubsListed], None]) -> None:
+    def __init__(
+        self, config: ConsulConfig, clock: TurnReactor, place: UnixPlace, told: Callable[[m.HubsListed], None]
+    ) -> None:
         name = quote(config.service, safe="")
         self.place = place
         self.told = told
         self.catalogue: dict[str, m.Hub] | None = None
         self.states: dict[str, SwitchState] | None = None
         self.listed: tuple[m.Hub, ...] | None = None
-        self.watches = (Watch(config, clock, f"/v1/catalog/service/{name}", self.on_catalogue),
-                        Watch(config, clock, f"/v1/health/service/{name}", self.on_health))
+        self.watches = (
+            Watch(config, clock, f"/v1/catalog/service/{name}", self.on_catalogue),
+            Watch(config, clock, f"/v1/health/service/{name}", self.on_health),
+        )
 
     def start(self) -> None:
         for watch in self.watches:
@@ -224,9 +244,11 @@
         """Nothing is told before both have answered; while Consul is away the last list holds."""
         if self.catalogue is None or self.states is None:
             return
-        hubs = tuple(m.Hub(hub.name, hub.number, self.states[name], hub.address, hub.started_at)
-                     for name, hub in sorted(self.catalogue.items())
-                     if self.states.get(name, SwitchState.GONE) is not SwitchState.GONE)
+        hubs = tuple(
+            m.Hub(hub.name, hub.number, self.states[name], hub.address, hub.started_at)
+            for name, hub in sorted(self.catalogue.items())
+            if self.states.get(name, SwitchState.GONE) is not SwitchState.GONE
+        )
         if hubs != self.listed:
             self.listed = hubs
             self.told(m.HubsListed(ListKind.COMPLETE, hubs))
--- a/chutefork/core/reducer.py
+++ b/chutefork/core/reducer.py
@@ -109,8 +109,9 @@
     if not sendable or call.attempts >= state.settings.max_attempts or wait_us <= 0:
         # guards against a set-up to a hub that drains or has gone since, and a seventh attempt
         call.attempts += 1
-        _end_attempt(state, action.call, call, action.switch, api.Outcome.NOT_SENT, api.Reason.NONE, None,
-                     now, effects)
+        _end_attempt(
+            state, action.call, call, action.switch, api.Outcome.NOT_SENT, api.Reason.NONE, None, now, effects
+        )
         return
     call.attempts += 1
     call.hub, call.sent_at, call.held = name, now, None
@@ -118,8 +119,9 @@
     effects.append(m.SetUp(action.call, name, wait_us))
 
 
-def _finish(state: State, call_id: int, now: int, effects: list[m.Effect], refused: bool,
-            wait_s: float = 0.0) -> None:
+def _finish(
+    state: State, call_id: int, now: int, effects: list[m.Effect], refused: bool, wait_s: float = 0.0
+) -> None:
     """The one final answer of a call that does not stand."""
     call = state.calls.pop(call_id, None)
     if call is None:
@@ -146,16 +148,31 @@
         effects.append(m.Fail(call_id, why))
 
 
-def _end_attempt(state: State, call_id: int, call: Call, switch: int, outcome: api.Outcome,
-                 reason: api.Reason, told_wait_us: int | None, now: int, effects: list[m.Effect]) -> None:
+def _end_attempt(
+    state: State,
+    call_id: int,
+    call: Call,
+    switch: int,
+    outcome: api.Outcome,
+    reason: api.Reason,
+    told_wait_us: int | None,
+    now: int,
+    effects: list[m.Effect],
+) -> None:
     elapsed_s = (now - call.sent_at) / SECOND if call.hub is not None else 0.0
     call.hub = None
     call.last = outcome, reason
     if outcome in (api.Outcome.TIMEOUT, api.Outcome.CUT, api.Outcome.CANCELLED):
         call.clear_at = now + round(state.settings.release_s * SECOND) + RELEASE_MARGIN_US
     told_wait_s = None if told_wait_us is None else told_wait_us / SECOND
-    _decide(state, api.AttemptEnded(call_id, call.attempts - 1, switch, outcome, elapsed_s,
-                                    False, reason, told_wait_s, None), now, effects)
+    _decide(
+        state,
+        api.AttemptEnded(
+            call_id, call.attempts - 1, switch, outcome, elapsed_s, False, reason, told_wait_s, None
+        ),
+        now,
+        effects,
+    )
 
 
 def _on_arrival(state: State, event: m.Arrival, now: int, effects: list[m.Effect]) -> None:
@@ -169,9 +186,24 @@
     left_us = max(event.left_us - ANSWER_MARGIN_US, 0)
     state.calls[event.call] = Call(event, now + left_us)
     _timer(state, now + left_us, "answer", event.call)
-    _decide(state, api.Arrival(event.call, event.class_index, event.width, left_us / SECOND, event.tenant,
-                               event.number_called, event.destination, event.in_transit, event.was_cut,
-                               event.dialled_again, event.advice), now, effects)
+    _decide(
+        state,
+        api.Arrival(
+            event.call,
+            event.class_index,
+            event.width,
+            left_us / SECOND,
+            event.tenant,
+            event.number_called,
+            event.destination,
+            event.in_transit,
+            event.was_cut,
+            event.dialled_again,
+            event.advice,
+        ),
+        now,
+        effects,
+    )
 
 
 def _on_withdrawn(state: State, event: m.Withdrawn, now: int, effects: list[m.Effect]) -> None:
@@ -186,8 +218,14 @@
     if hub is not None:
         _unstand(state, event.call, hub, now)
         effects.append(m.Release(event.call, hub))
-        _decide(state, api.AttemptEnded(event.call, 0, state.switches[hub], api.Outcome.OK, 0.0, True,
-                                        api.Reason.NONE, None, None), now, effects)
+        _decide(
+            state,
+            api.AttemptEnded(
+                event.call, 0, state.switches[hub], api.Outcome.OK, 0.0, True, api.Reason.NONE, None, None
+            ),
+            now,
+            effects,
+        )
 
 
 def _unstand(state: State, call: int, hub: str, now: int) -> None:
@@ -207,8 +245,12 @@
     state.standing[event.call] = event.hub
     state.hubs[event.hub].standing.add(event.call)
     effects.append(m.Answer(event.call, event.description))
-    _decide(state, api.Stands(event.call, call.attempts - 1, state.switches[event.hub],
-                              (now - call.sent_at) / SECOND), now, effects)
+    _decide(
+        state,
+        api.Stands(event.call, call.attempts - 1, state.switches[event.hub], (now - call.sent_at) / SECOND),
+        now,
+        effects,
+    )
 
 
 def _on_stray(state: State, event: m.Stray, now: int, effects: list[m.Effect]) -> None:
@@ -224,14 +266,29 @@
     call = state.calls.get(event.call)
     if call is not None:
         if call.hub == event.hub:
-            _end_attempt(state, event.call, call, state.switches[event.hub], event.outcome, event.reason,
-                         event.told_wait_us, now, effects)
+            _end_attempt(
+                state,
+                event.call,
+                call,
+                state.switches[event.hub],
+                event.outcome,
+                event.reason,
+                event.told_wait_us,
+                now,
+                effects,
+            )
         return
     if state.standing.get(event.call) == event.hub:
         _unstand(state, event.call, event.hub, now)
         effects.append(m.Over(event.call, event.outcome is not api.Outcome.OK))
-        _decide(state, api.AttemptEnded(event.call, 0, state.switches[event.hub], event.outcome, 0.0, True,
-                                        event.reason, None, None), now, effects)
+        _decide(
+            state,
+            api.AttemptEnded(
+                event.call, 0, state.switches[event.hub], event.outcome, 0.0, True, event.reason, None, None
+            ),
+            now,
+            effects,
+        )
     elif event.call not in state.finished and event.call not in state.standing:
         # A call that stood before this program's restart is over: only its caller still knows of it.
         state.finished[event.call] = now
@@ -258,8 +315,10 @@
             if name not in named:
                 old = entry.hub
                 entry.hub = m.Hub(old.name, old.number, api.SwitchState.GONE, old.address, old.started_at)
-    entries = tuple(api.Entry(state.switches[hub.name], hub.number, hub.state, hub.started_at / SECOND)
-                    for hub in event.hubs)
+    entries = tuple(
+        api.Entry(state.switches[hub.name], hub.number, hub.state, hub.started_at / SECOND)
+        for hub in event.hubs
+    )
     _decide(state, api.SwitchList(event.kind, entries), now, effects)
     for name, entry in list(state.hubs.items()):
         if entry.hub.state is api.SwitchState.GONE:
@@ -270,8 +329,17 @@
         if entry.hub.state is api.SwitchState.GONE:
             for call_id, call in list(state.calls.items()):
                 if call.hub == name:
-                    _end_attempt(state, call_id, call, entry.switch, api.Outcome.CUT, api.Reason.NONE, None,
-                                 now, effects)
+                    _end_attempt(
+                        state,
+                        call_id,
+                        call,
+                        entry.switch,
+                        api.Outcome.CUT,
+                        api.Reason.NONE,
+                        None,
+                        now,
+                        effects,
+                    )
             # hubs come and go all day under ever new names; what is not listed is not remembered
             del state.hubs[name], state.switches[name], state.names[entry.switch]
 
@@ -312,8 +380,17 @@
         elif kind == "attempt" and call.hub is not None and call.attempts == serial:
             hub = call.hub
             effects.append(m.Release(key, hub))
-            _end_attempt(state, key, call, state.switches[hub], api.Outcome.TIMEOUT, api.Reason.NONE, None,
-                         now, effects)
+            _end_attempt(
+                state,
+                key,
+                call,
+                state.switches[hub],
+                api.Outcome.TIMEOUT,
+                api.Reason.NONE,
+                None,
+                now,
+                effects,
+            )
         elif kind == "answer":
             # guards against a call that the module lets lie: its caller is owed an answer before it leaves
             _finish(state, key, now, effects, refused=True)
@@ -326,6 +403,15 @@
         _decide(state, api.Withdrawn(call), now, effects)
 
 
-_HANDLERS = {m.Arrival: _on_arrival, m.Withdrawn: _on_withdrawn, m.Stands: _on_stands, m.Stray: _on_stray,
-             m.Ended: _on_ended, m.HubsListed: _on_hubs, m.GroupTold: _on_group, m.HubLost: _on_lost,
-             m.Due: _on_due, m.Leave: _on_leave}
+_HANDLERS = {
+    m.Arrival: _on_arrival,
+    m.Withdrawn: _on_withdrawn,
+    m.Stands: _on_stands,
+    m.Stray: _on_stray,
+    m.Ended: _on_ended,
+    m.HubsListed: _on_hubs,
+    m.GroupTold: _on_group,
+    m.HubLost: _on_lost,
+    m.Due: _on_due,
+    m.Leave: _on_leave,
+}
--- a/chutefork/interface.py
+++ b/chutefork/interface.py
@@ -91,8 +91,18 @@
     tick_s: float
 
     def __post_init__(self) -> None:
-        for name in ("seed", "release_s", "resend_s", "over_share_worth", "max_hold_off_s", "ask_within_s",
-                     "drain_grace_s", "warm_up_s", "fall_s", "tick_s"):
+        for name in (
+            "seed",
+            "release_s",
+            "resend_s",
+            "over_share_worth",
+            "max_hold_off_s",
+            "ask_within_s",
+            "drain_grace_s",
+            "warm_up_s",
+            "fall_s",
+            "tick_s",
+        ):
             _need(name, getattr(self, name), 0)
         for name in ("controllers", "max_attempts"):
             _need(name, getattr(self, name), 1)
--- a/chutefork/net/callers.py
+++ b/chutefork/net/callers.py
@@ -183,8 +183,11 @@
                 continue
             if not connection.proven and now - connection.made_at > UNUSED_US:
                 connection.end("unused")
-            elif connection not in busy and not connection.unread() and now - connection.acted_at > (
-                    IDLE_US if connection.stood else UNUSED_US):
+            elif (
+                connection not in busy
+                and not connection.unread()
+                and now - connection.acted_at > (IDLE_US if connection.stood else UNUSED_US)
+            ):
                 connection.end("idle")
         self.clock.callLater(SWEEP_S, self.sweep)
 
@@ -208,8 +211,10 @@
         would be lost. Where there is nothing else, the newest goes."""
         crowded_at, self.crowded_at = self.crowded_at, 0
         over, busy = self.live() - self.most, {place[0] for place in self.standing.values()}
-        idle = sorted((item for item in self.connections if not (item.open or item.code)),
-                      key=lambda item: (item.proven, item.stood > 0, item in busy, item.acted_at))
+        idle = sorted(
+            (item for item in self.connections if not (item.open or item.code)),
+            key=lambda item: (item.proven, item.stood > 0, item in busy, item.acted_at),
+        )
         kept = []
         for item in idle:
             if over <= 0:
@@ -220,7 +225,7 @@
             item.end("crowded", at_once=not item.proven)
             over -= 1
         kept.sort(key=lambda item: (item.proven, -item.made_at))
-        for item in kept[:max(over, 0)]:
+        for item in kept[: max(over, 0)]:
             item.end("crowded", at_once=not item.proven)
 
     def launch(self, connection: CallerProtocol, call: int, uid: str, record: dict) -> None:
@@ -243,8 +248,11 @@
         connection.proven = True
         if self.unsent:
             self.flush(connection)
-        if (len(connection.open) >= MOST_OPEN or len(self.owed) >= self.most_owed
-                or len(passed[2]) > self.body_room):  # guards the memory against set-ups by the thousand
+        if (
+            len(connection.open) >= MOST_OPEN
+            or len(self.owed) >= self.most_owed
+            or len(passed[2]) > self.body_room
+        ):  # guards the memory against set-ups by the thousand
             connection.push(line_of("stop", uid, self.hint, reason=NO_CIRCUIT))
             return
         self.owed[call] = connection
@@ -273,10 +281,18 @@
         if not re.fullmatch(r"[0-9a-fA-F]{1,16}", key):
             raise ValueError(f"key {key[:20]!r} is not a number called")
         arrival = m.Arrival(
-            call, place, float(extras.get("width", self.widths[place])), int(left_ms * 1000),
-            self.tenants.get(tenant, 0), int(key, 16), int(float(extras["dest"])),
-            extras.get("transit") == "1", extras.get("again") == "1", False,
-            int(float(extras.get("via", -1))))
+            call,
+            place,
+            float(extras.get("width", self.widths[place])),
+            int(left_ms * 1000),
+            self.tenants.get(tenant, 0),
+            int(key, 16),
+            int(float(extras["dest"])),
+            extras.get("transit") == "1",
+            extras.get("again") == "1",
+            False,
+            int(float(extras.get("via", -1))),
+        )
         body.encode()  # a lone surrogate can be read as JSON and sent by nobody
         if arrival.width != self.widths[place]:
             raise ValueError(f"width {arrival.width!r} is not the class's")
--- a/chutefork/net/clock.py
+++ b/chutefork/net/clock.py
@@ -37,9 +37,13 @@
         self._turn_us = 0
         super().doIteration(timeout)
 
-
-    def listenTCP(self, port: int, factory: ServerFactory, backlog: int = 50,  # noqa: N802
-                  interface: str = "") -> BoundedPort:
+    def listenTCP(
+        self,
+        port: int,
+        factory: ServerFactory,
+        backlog: int = 50,  # noqa: N802
+        interface: str = "",
+    ) -> BoundedPort:
         made = BoundedPort(port, factory, backlog, interface, self)
         made.startListening()
         return made
--- a/chutefork/net/connection.py
+++ b/chutefork/net/connection.py
@@ -183,8 +183,10 @@
                 self.code, self.detail = "io-error", repr(reason.value)
         age_ms = (self.clock.now_us() - self.made_at) // 1000
         tail = " detail=" + repr(self.detail[:160]) if self.detail else ""
-        log(f"end role={self.role} peer={self.peer} code={self.code} age_ms={age_ms} in={self.taken}"
-            f" out={self.sent}{tail}")
+        log(
+            f"end role={self.role} peer={self.peer} code={self.code} age_ms={age_ms} in={self.taken}"
+            f" out={self.sent}{tail}"
+        )
         self.lost()
 
     def lost(self) -> None:
--- a/chutefork/net/driver.py
+++ b/chutefork/net/driver.py
@@ -37,9 +37,17 @@
         self.wake = None
 
     def attach(self, front: Front, legs: Legs) -> None:
-        self.doers = {m.Answer: front.answer, m.Refuse: front.refuse, m.Fail: front.fail, m.Over: front.over,
-                      m.SetUp: legs.set_up, m.Release: legs.release, m.Reach: legs.reach,
-                      m.WakeAt: self.wake_at, m.Note: lambda effect: log(f"note {effect.text}")}
+        self.doers = {
+            m.Answer: front.answer,
+            m.Refuse: front.refuse,
+            m.Fail: front.fail,
+            m.Over: front.over,
+            m.SetUp: legs.set_up,
+            m.Release: legs.release,
+            m.Reach: legs.reach,
+            m.WakeAt: self.wake_at,
+            m.Note: lambda effect: log(f"note {effect.text}"),
+        }
 
     def later(self, event: m.Event) -> None:
         """An event found while an effect is carried out: it follows when all of these are done."""
--- a/chutefork/net/exchanges.py
+++ b/chutefork/net/exchanges.py
@@ -25,10 +25,21 @@
 CLASS, LEFT, NUMBER, NOTE, WAIT, GROUP, CAUSE, DESCRIPTION = 16, 19, 28, 37, 40, 43, 58, 61
 GIVEN_UP = 16
 
-OUTCOMES = {34: Outcome.NOT_SET_UP, 17: Outcome.ERROR, 47: Outcome.ERROR, 102: Outcome.NOT_SENT,
-            41: Outcome.CUT, 16: Outcome.OK}
-REASONS = {"atb": Reason.NO_CIRCUIT, "rtb": Reason.TURNED_BACK, "racc": Reason.BEYOND_FULL,
-           "acc": Reason.PROCESSOR_FULL, "sub": Reason.LINES_BUSY}
+OUTCOMES = {
+    34: Outcome.NOT_SET_UP,
+    17: Outcome.ERROR,
+    47: Outcome.ERROR,
+    102: Outcome.NOT_SENT,
+    41: Outcome.CUT,
+    16: Outcome.OK,
+}
+REASONS = {
+    "atb": Reason.NO_CIRCUIT,
+    "rtb": Reason.TURNED_BACK,
+    "racc": Reason.BEYOND_FULL,
+    "acc": Reason.PROCESSOR_FULL,
+    "sub": Reason.LINES_BUSY,
+}
 WATCH_S = 0.025  # how often the silence of the links is looked at
 GONE_US = 6_000_000  # unreached and unheard for so long: what stood there is over
 OWED_US = 60_000  # no less than this is silence where an answer is owed
@@ -61,7 +72,7 @@
         at += 3
         if at + length > len(data):
             raise ValueError(f"parameter {code} is cut off")
-        parameters[code] = data[at:at + length]
+        parameters[code] = data[at : at + length]
         at += length
     return kind, call, parameters
 
@@ -185,8 +196,10 @@
         self.connecting = False
         refused = reason.check(error.ConnectionRefusedError) is not None
         if not self.tries or self.queue:
-            log(f"end role=exchange peer={self.hub.name}@{self.hub.address}"
-                f" code={'refused' if refused else 'unreached'} age_ms=0 in=0 out=0")
+            log(
+                f"end role=exchange peer={self.hub.name}@{self.hub.address}"
+                f" code={'refused' if refused else 'unreached'} age_ms=0 in=0 out=0"
+            )
         self.tries += 1
         self.legs.tried()
         waiting, self.queue = self.queue, {}
@@ -226,8 +239,11 @@
         if was_mute and connection.seen_mute:
             self.silences += 1
             quiet_ms, within_ms = (now - connection.heard_at) // 1000, self.answers_within_us() // 1000
-            connection.end("silent", f"for {quiet_ms} ms, {len(connection.open)} set-ups open, answers within"
-                                     f" {within_ms} ms", at_once=True)
+            connection.end(
+                "silent",
+                f"for {quiet_ms} ms, {len(connection.open)} set-ups open, answers within" f" {within_ms} ms",
+                at_once=True,
+            )
 
     def let_go(self, code: str) -> None:
         if self.retry is not None:
@@ -260,9 +276,16 @@
     def send(self, effect: m.SetUp, since: int) -> None:
         left_us = effect.wait_us - (self.clock.now_us() - since)
         name, key, body = self.legs.front.bodies.get(effect.call, ("", "", ""))
-        data = frame_of(SETUP, effect.call, [
-            (CLASS, name.encode()), (LEFT, str(max(left_us // 1000, 1)).encode()), (NUMBER, key.encode()),
-            (DESCRIPTION, body.encode())])
+        data = frame_of(
+            SETUP,
+            effect.call,
+            [
+                (CLASS, name.encode()),
+                (LEFT, str(max(left_us // 1000, 1)).encode()),
+                (NUMBER, key.encode()),
+                (DESCRIPTION, body.encode()),
+            ],
+        )
         if self.connection is None or not self.connection.push(data):
             self.legs.driver.later(m.Ended(effect.call, self.hub.name, Outcome.NOT_SENT))
             return
@@ -315,8 +338,11 @@
             note, wait = parameters.get(NOTE, b"").decode("ascii", "replace"), parameters.get(WAIT)
             wait_us = int(float(wait) * 1000) if wait else None
             self.settled(call)
-            tell(m.Ended(call, name, OUTCOMES.get(cause[0], Outcome.ERROR), REASONS.get(note, Reason.NONE),
-                         wait_us))
+            tell(
+                m.Ended(
+                    call, name, OUTCOMES.get(cause[0], Outcome.ERROR), REASONS.get(note, Reason.NONE), wait_us
+                )
+            )
         elif kind == STATE:
             text = parameters.get(GROUP, b"").decode("ascii", "replace")
             figures = dict(part.split(":", 1) for part in text.split(";") if ":" in part)
@@ -331,8 +357,14 @@
 
 
 class ExchangeLegs:
-    def __init__(self, driver: Driver, front: CallerFront, clock: TurnReactor,
-                 connect_timeout_s: float, idle_close_s: float) -> None:
+    def __init__(
+        self,
+        driver: Driver,
+        front: CallerFront,
+        clock: TurnReactor,
+        connect_timeout_s: float,
+        idle_close_s: float,
+    ) -> None:
         self.driver = driver
         self.front = front
         self.clock = clock
--- a/chutefork/net/http.py
+++ b/chutefork/net/http.py
@@ -46,13 +46,23 @@
         super().connectionMade()
         self.asker.made(self)
 
-    def ask(self, method: str, path: str, within_s: float, body: bytes = b"",
-            headers: tuple[tuple[str, str], ...] = ()) -> None:
+    def ask(
+        self,
+        method: str,
+        path: str,
+        within_s: float,
+        body: bytes = b"",
+        headers: tuple[tuple[str, str], ...] = (),
+    ) -> None:
         self.state, self.length, self.chunked, self.headers = "status", -1, False, {}
         self.parts: list[bytes] = []
         self.missing = self.size = 0
-        lines = [f"{method} {path} HTTP/1.1", f"Host: {self.asker.address}", "Accept: application/json",
-                 *(f"{name}: {value}" for name, value in headers)]
+        lines = [
+            f"{method} {path} HTTP/1.1",
+            f"Host: {self.asker.address}",
+            "Accept: application/json",
+            *(f"{name}: {value}" for name, value in headers),
+        ]
         if body or method != "GET":
             lines.append(f"Content-Length: {len(body)}")
         self.silence = self.clock.callLater(within_s, self.end, "silent", at_once=True)
@@ -106,7 +116,7 @@
             self.state = "trailer"
 
     def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
-        part, rest = data[:self.missing], data[self.missing:]
+        part, rest = data[: self.missing], data[self.missing :]
         self.parts.append(part)
         self.missing -= len(part)
         if self.missing:
--- a/chutefork/net/ring.py
+++ b/chutefork/net/ring.py
@@ -24,8 +24,8 @@
             self._grow(needed)
         at = (self.start + self.size) % len(self.room)
         first = min(len(data), len(self.room) - at)
-        self.room[at:at + first] = data[:first]
-        self.room[:len(data) - first] = data[first:]
+        self.room[at : at + first] = data[:first]
+        self.room[: len(data) - first] = data[first:]
         self.size = needed
         return True
 
@@ -33,7 +33,7 @@
         """The oldest bytes, at most so many."""
         count = min(most, self.size)
         first = min(count, len(self.room) - self.start)
-        data = bytes(self.room[self.start:self.start + first]) + bytes(self.room[:count - first])
+        data = bytes(self.room[self.start : self.start + first]) + bytes(self.room[: count - first])
         self.start = (self.start + count) % len(self.room)
         self.size -= count
         if not self.size:
--- a/chutefork/rules.py
+++ b/chutefork/rules.py
@@ -86,8 +86,9 @@
             passed += 1
         return len(self.out) - passed
 
-    def read(self, now: float, smooth_s: float, bound_s: float, failed: bool = False,
-             wait_s: float = 0.0) -> int:
+    def read(
+        self, now: float, smooth_s: float, bound_s: float, failed: bool = False, wait_s: float = 0.0
+    ) -> int:
         """One reading; the change of level. Equal to the mark, or between the two, it is neither."""
         if failed:  # an emptied count must not reopen a full or silent processor; harm: after a short stall
             self.over_until = max(self.over_until, now + wait_s)
@@ -150,9 +151,16 @@
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         self.actions = []
-        take = {api.Arrival: self.on_arrival, api.Stands: self.on_stands, api.AttemptEnded: self.on_ended,
-                api.Report: self.on_load, api.Withdrawn: self.on_withdrawn, api.SwitchList: self.on_list,
-                api.TimerDue: self.on_timer, api.PeerMessage: self.on_peer}.get(type(event))
+        take = {
+            api.Arrival: self.on_arrival,
+            api.Stands: self.on_stands,
+            api.AttemptEnded: self.on_ended,
+            api.Report: self.on_load,
+            api.Withdrawn: self.on_withdrawn,
+            api.SwitchList: self.on_list,
+            api.TimerDue: self.on_timer,
+            api.PeerMessage: self.on_peer,
+        }.get(type(event))
         if take is not None:
             take(now, event)
         return self.actions
@@ -197,7 +205,7 @@
         far.free = far.free if load.free_circuits is None else load.free_circuits
         far.size = far.size if load.group_circuits is None else load.group_circuits
         if load.hold_back_share is not None:  # a level is read against the chances half-way to its neighbours
-            below, at, above = (-1.0, *CHANCE, math.inf)[far.level:far.level + 3]
+            below, at, above = (-1.0, *CHANCE, math.inf)[far.level : far.level + 3]
             asked = load.hold_back_share
             self.note_step(now, far, far.step(asked > (at + above) / 2, asked < (below + at) / 2))
         wait_s = load.wait_s
@@ -241,8 +249,13 @@
         dest = self.by_number.get(arrival.destination)
         shut = dest is None or not self.usable(dest)
         if arrival.in_transit:
-            if (shut or self.drawn(self.around, call) or self.own_pressed(now, call)
-                    or self.pressed(now, dest, call) or not self.has_room(dest, arrival, self.reserve(dest))):
+            if (
+                shut
+                or self.drawn(self.around, call)
+                or self.own_pressed(now, call)
+                or self.pressed(now, dest, call)
+                or not self.has_room(dest, arrival, self.reserve(dest))
+            ):
                 self.refuse(call_id)
             else:
                 self.send(now, call_id, call, dest)
@@ -259,8 +272,12 @@
             self.overflow(now, call_id, call)
 
     def overflow(self, now: float, call_id: int, call: Call) -> None:
-        barred = (call.late or call.attempts >= self.settings.max_attempts
-                  or not self.settings.pools_form and self.drawn(self.around, call))
+        barred = (
+            call.late
+            or call.attempts >= self.settings.max_attempts
+            or not self.settings.pools_form
+            and self.drawn(self.around, call)
+        )
         tandem = None if barred else self.far.get(self.tandems.get(call.arrival.destination, -1))
         if not barred and (tandem is None or self.tandem_blocks(now, tandem, call)):
             tandem = self.redraw(now, call)
@@ -287,9 +304,12 @@
         pools = self.settings.classes[arrival.class_index].pools
         if self.settings.pools_form and tandem.number not in pools:
             return True  # remembered for another class, whose skill this one's pool may lack
-        return (not self.usable(tandem) or now < self.gapped.get((arrival.destination, tandem.switch), now)
-                or not self.has_room(tandem, arrival, self.reserve(tandem))
-                or self.pressed(now, tandem, call))
+        return (
+            not self.usable(tandem)
+            or now < self.gapped.get((arrival.destination, tandem.switch), now)
+            or not self.has_room(tandem, arrival, self.reserve(tandem))
+            or self.pressed(now, tandem, call)
+        )
 
     def usable(self, far: Far) -> bool:
         """Listed and running: nothing is sent from the moment a drain is told, well within its grace."""
@@ -322,8 +342,11 @@
         quickest_s = min((took_s for _, _, took_s in self.heard), default=math.inf)
         slow = quickest_s > self.bound_s and len({number for _, number, _ in self.heard}) > 1
         self.note_step(now, self.own, self.own.step(slow, not self.waiting or quickest_s < self.bound_s / 2))
-        if (self.settings.messages_allowed and self.own.level != self.told[0]
-                and now >= self.told_at + self.bound_s):
+        if (
+            self.settings.messages_allowed
+            and self.own.level != self.told[0]
+            and now >= self.told_at + self.bound_s
+        ):
             self.told, self.told_at = bytes((self.own.level, (self.told[1] + 1) % 256)), now
             self.actions.append(api.Tell(None, self.told))
         return self.drawn(self.own, call)
@@ -402,9 +425,13 @@
         call = self.calls.get(event.call)
         if call is None or call.out is None:
             return
-        failed = (event.outcome is api.Outcome.NOT_REACHED or
-                  event.outcome is api.Outcome.TIMEOUT and self.waited(now, event.call, call) or
-                  event.outcome is api.Outcome.NOT_SET_UP and event.reason is api.Reason.PROCESSOR_FULL)
+        failed = (
+            event.outcome is api.Outcome.NOT_REACHED
+            or event.outcome is api.Outcome.TIMEOUT
+            and self.waited(now, event.call, call)
+            or event.outcome is api.Outcome.NOT_SET_UP
+            and event.reason is api.Reason.PROCESSOR_FULL
+        )
         answered = event.outcome in (api.Outcome.OK, api.Outcome.ERROR, api.Outcome.NOT_SET_UP)
         wait_s = self.bound_s if event.told_wait_s is None else event.told_wait_s - self.bound_s / BOUND_SHARE
         self.settle(now, event.call, call, event.switch, failed, answered, wait_s)
@@ -431,20 +458,35 @@
         if event.outcome in (api.Outcome.TIMEOUT, api.Outcome.CUT, api.Outcome.CANCELLED):
             # a connection that broke says nothing of the route: direct first once more
             self.wait_release(now, event.call, call)
-        elif (fault and call.attempts < self.settings.max_attempts and now < call.answer_by
-              and far.faults < FAULTS):
+        elif (
+            fault
+            and call.attempts < self.settings.max_attempts
+            and now < call.answer_by
+            and far.faults < FAULTS
+        ):
             # Guards against an exchange that fails some set-ups as soon as they come: the next may pass, and
             # a redial of the caller costs it the aim. Harm: each try is work there, so none where all fail.
             self.route(now, event.call, call)
-        elif (event.outcome in (api.Outcome.NOT_SENT, api.Outcome.NOT_SET_UP, api.Outcome.NOT_REACHED)
-              and event.reason in (api.Reason.NO_CIRCUIT, api.Reason.NONE) and not call.arrival.in_transit
-              and now < call.answer_by):
+        elif (
+            event.outcome in (api.Outcome.NOT_SENT, api.Outcome.NOT_SET_UP, api.Outcome.NOT_REACHED)
+            and event.reason in (api.Reason.NO_CIRCUIT, api.Reason.NONE)
+            and not call.arrival.in_transit
+            and now < call.answer_by
+        ):
             self.overflow(now, event.call, call)
         else:
             self.refuse(event.call)
 
-    def settle(self, now: float, call_id: int, call: Call | None, switch: int, failed: bool,
-               answered: bool, wait_s: float = 0.0) -> None:
+    def settle(
+        self,
+        now: float,
+        call_id: int,
+        call: Call | None,
+        switch: int,
+        failed: bool,
+        answered: bool,
+        wait_s: float = 0.0,
+    ) -> None:
         """The attempt no longer counts as unanswered; its answer, or its failure, is a reading."""
         far = self.far.get(switch)
         if call is None or far is None:
@@ -477,8 +519,11 @@
         """Fifth rule: not sent again until the release is over; no time left for that, given up."""
         again_at = now + self.settings.release_s + self.settings.tick_s
         aim = self.settings.classes[call.arrival.class_index].aim_s
-        if (call.arrival.in_transit or call.attempts >= self.settings.max_attempts
-                or again_at > min(call.answer_by, call.arrived_at + aim)):
+        if (
+            call.arrival.in_transit
+            or call.attempts >= self.settings.max_attempts
+            or again_at > min(call.answer_by, call.arrived_at + aim)
+        ):
             self.refuse(call_id)
         else:
             self.set_timer(again_at - now, call_id)
--- a/chutefork/sip/agent.py
+++ b/chutefork/sip/agent.py
@@ -58,9 +58,13 @@
         request, target = dialog.request("BYE", self.address)
         self.send(request, target)
 
-    def send(self, request: sip.Request, target: Target,
-             heard: Callable[[sip.Response], None] = lambda response: None,
-             failed: Callable[[str], None] = lambda why: None) -> ClientTransaction:
+    def send(
+        self,
+        request: sip.Request,
+        target: Target,
+        heard: Callable[[sip.Response], None] = lambda response: None,
+        failed: Callable[[str], None] = lambda why: None,
+    ) -> ClientTransaction:
         return self.layer.request(request, target, heard, failed)
 
     # ---- what comes in
--- a/chutefork/sip/dialog.py
+++ b/chutefork/sip/dialog.py
@@ -18,8 +18,18 @@
 
 
 class Dialog:
-    def __init__(self, call_id: str, local: str, remote: str, local_tag: str, remote_tag: str, target: str,
-                 routes: list[str], sequence: int, source: Target) -> None:
+    def __init__(
+        self,
+        call_id: str,
+        local: str,
+        remote: str,
+        local_tag: str,
+        remote_tag: str,
+        target: str,
+        routes: list[str],
+        sequence: int,
+        source: Target,
+    ) -> None:
         self.id = DialogId(call_id, local_tag, remote_tag)
         self.local, self.remote = local, remote  # the From and To of what we send, tags and all
         self.target = target
@@ -33,9 +43,17 @@
         contact = request.contact
         remote = request.headers["From"]
         target = str(contact[0].uri) if contact else str(request.from_address.uri)
-        made = cls(request.call_id, f"{request.headers['To']};tag={local_tag}", remote, local_tag,
-                   sip.tag_of(request.from_address), target, [str(item) for item in request.record_route],
-                   0, source)
+        made = cls(
+            request.call_id,
+            f"{request.headers['To']};tag={local_tag}",
+            remote,
+            local_tag,
+            sip.tag_of(request.from_address),
+            target,
+            [str(item) for item in request.record_route],
+            0,
+            source,
+        )
         made.remote_sequence = request.cseq.sequence
         return made
 
@@ -43,9 +61,17 @@
     def of_client(cls, request: sip.Request, response: sip.Response, source: Target) -> Dialog:
         contact = response.contact
         target = str(contact[0].uri) if contact else str(request.uri)
-        return cls(request.call_id, request.headers["From"], response.headers["To"],
-                   sip.tag_of(request.from_address), sip.tag_of(response.to_address), target,
-                   [str(item) for item in reversed(response.record_route)], request.cseq.sequence, source)
+        return cls(
+            request.call_id,
+            request.headers["From"],
+            response.headers["To"],
+            sip.tag_of(request.from_address),
+            sip.tag_of(response.to_address),
+            target,
+            [str(item) for item in reversed(response.record_route)],
+            request.cseq.sequence,
+            source,
+        )
 
     def accepts(self, request: sip.Request) -> bool:
         """Requests of a dialog come in order; a lower number is an old one."""
@@ -54,8 +80,9 @@
         self.remote_sequence = request.cseq.sequence
         return True
 
-    def request(self, method: str, transport: tuple[str, int], sequence: int | None = None
-                ) -> tuple[sip.Request, Target]:
+    def request(
+        self, method: str, transport: tuple[str, int], sequence: int | None = None
+    ) -> tuple[sip.Request, Target]:
         if sequence is None:
             self.local_sequence += 1
             sequence = self.local_sequence
@@ -66,8 +93,15 @@
             if "lr" not in hop.parameters:  # a strict router: it takes the request by the request URI
                 uri, routes = str(hop), [*routes[1:], f"<{uri}>"]
         target = self.reach(hop)
-        request = sip.new_request(method, uri, sip.via_of(target.transport, *transport), self.local,
-                                  self.remote, self.id.call_id, sequence)
+        request = sip.new_request(
+            method,
+            uri,
+            sip.via_of(target.transport, *transport),
+            self.local,
+            self.remote,
+            self.id.call_id,
+            sequence,
+        )
         for route in routes:
             request.headers.add("Route", route)
         return request, target
--- a/chutefork/sip/front.py
+++ b/chutefork/sip/front.py
@@ -17,8 +17,14 @@
     from .legs import SipLegs
     from .settings import SipConfig
 
-CODES = {m.Why.BUSY: 503, m.Why.LINES_BUSY: 486, m.Why.NO_ANSWER: 504, m.Why.DEADLINE: 408,
-         m.Why.UNKNOWN_DESTINATION: 404, m.Why.FAULT: 500}
+CODES = {
+    m.Why.BUSY: 503,
+    m.Why.LINES_BUSY: 486,
+    m.Why.NO_ANSWER: 504,
+    m.Why.DEADLINE: 408,
+    m.Why.UNKNOWN_DESTINATION: 404,
+    m.Why.FAULT: 500,
+}
 MOST_OWED = 4000  # INVITEs without their answer
 TRANSIT = "X-Transit"  # on a call sent round by us: the number of the exchange that it comes from
 
@@ -56,8 +62,12 @@
 
     def stand(self, description: str) -> None:
         transport = self.server.source.transport
-        response = sip.response_to(self.server.request, 200, self.tag, extra=(
-            ("Contact", self.agent.contact(transport)), ("Allow", sip.ALLOW)))
+        response = sip.response_to(
+            self.server.request,
+            200,
+            self.tag,
+            extra=(("Contact", self.agent.contact(transport)), ("Allow", sip.ALLOW)),
+        )
         sip.with_body(response, description.encode("utf-8", "surrogateescape"))
         self.answer_data = bytes(response)
         self.dialog = Dialog.of_server(self.server.request, self.tag, self.server.source)
@@ -173,9 +183,19 @@
         digits = "".join(char for char in number if char.isdigit())[-18:]
         via = request.headers.get(TRANSIT, "")
         transit = server.source.host in self.config.peers and via.isdigit()
-        self.driver.tell(m.Arrival(call, route.class_index, item.width_circuits, left_us, route.tenant,
-                                   int(digits or 0), route.destination, transit,
-                                   advice=int(via[:9]) if transit else -1))
+        self.driver.tell(
+            m.Arrival(
+                call,
+                route.class_index,
+                item.width_circuits,
+                left_us,
+                route.tenant,
+                int(digits or 0),
+                route.destination,
+                transit,
+                advice=int(via[:9]) if transit else -1,
+            )
+        )
 
     def cancelled(self, server: ServerTransaction) -> None:
         call = self.by_server.get(server)
@@ -192,8 +212,11 @@
         """A caller may also give up by a BYE in the dialog of our provisional response."""
         for call, found in list(self.owed.items()):
             invite = found.server.request
-            if (invite.call_id == request.call_id and found.tag == sip.tag_of(request.to_address)
-                    and sip.tag_of(invite.from_address) == sip.tag_of(request.from_address)):
+            if (
+                invite.call_id == request.call_id
+                and found.tag == sip.tag_of(request.to_address)
+                and sip.tag_of(invite.from_address) == sip.tag_of(request.from_address)
+            ):
                 self.withdraw(call)
                 return True
         return False
--- a/chutefork/sip/legs.py
+++ b/chutefork/sip/legs.py
@@ -23,8 +23,9 @@
 NO_CIRCUIT = 34  # of Q.850, in a Reason header (RFC 3326)
 
 
-def outcome_of(code: int, cause: int, retry_after_us: int | None, tandem: bool
-               ) -> tuple[Outcome, Reason, int | None]:
+def outcome_of(
+    code: int, cause: int, retry_after_us: int | None, tandem: bool
+) -> tuple[Outcome, Reason, int | None]:
     """A hub's refusal in the core's words."""
     if code in (486, 600):
         return Outcome.ERROR, Reason.LINES_BUSY, None
@@ -64,9 +65,16 @@
         own = self.agent.address
         tail = ";transport=tcp" if target.transport == "TCP" else ""
         user = sip.URI("sip", host, asked.number, None, int(port))
-        request = sip.new_request("INVITE", f"{user}{tail}", sip.via_of(target.transport, *own),
-                                  f"{asked.sender};tag={sip.tag()}", f"<{user}>", f"{sip.tag()}@{own[0]}", 1,
-                                  asked.hops)
+        request = sip.new_request(
+            "INVITE",
+            f"{user}{tail}",
+            sip.via_of(target.transport, *own),
+            f"{asked.sender};tag={sip.tag()}",
+            f"<{user}>",
+            f"{sip.tag()}@{own[0]}",
+            1,
+            asked.hops,
+        )
         request.headers.set("Contact", self.agent.contact(target.transport))
         request.headers.set("Allow", sip.ALLOW)
         request.headers.set("Expires", str(max(math.ceil(effect.wait_us / 1e6), 1)))
@@ -115,8 +123,14 @@
         else:
             after = re.match(r"\d{1,6}", response.headers.get("Retry-After", ""))
             cause = CAUSE.search(response.headers.get("Reason", ""))
-            self.finish(*outcome_of(response.code, int(cause[1]) if cause else 0,
-                                    int(after[0]) * 1_000_000 if after else None, self.tandem))
+            self.finish(
+                *outcome_of(
+                    response.code,
+                    int(cause[1]) if cause else 0,
+                    int(after[0]) * 1_000_000 if after else None,
+                    self.tandem,
+                )
+            )
 
     def answered(self, response: sip.Response) -> None:
         tag = sip.tag_of(response.to_address)
--- a/chutefork/sip/message.py
+++ b/chutefork/sip/message.py
@@ -11,11 +11,25 @@
 ALLOW = "INVITE, ACK, CANCEL, BYE, OPTIONS"
 METHODS = frozenset(ALLOW.split(", "))
 PHRASES = {
-    100: "Trying", 180: "Ringing", 200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
-    408: "Request Timeout", 415: "Unsupported Media Type", 416: "Unsupported URI Scheme",
-    420: "Bad Extension", 481: "Call/Transaction Does Not Exist", 482: "Loop Detected",
-    483: "Too Many Hops", 486: "Busy Here", 487: "Request Terminated", 488: "Not Acceptable Here",
-    500: "Server Internal Error", 503: "Service Unavailable", 504: "Server Time-out",
+    100: "Trying",
+    180: "Ringing",
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    415: "Unsupported Media Type",
+    416: "Unsupported URI Scheme",
+    420: "Bad Extension",
+    481: "Call/Transaction Does Not Exist",
+    482: "Loop Detected",
+    483: "Too Many Hops",
+    486: "Busy Here",
+    487: "Request Terminated",
+    488: "Not Acceptable Here",
+    500: "Server Internal Error",
+    503: "Service Unavailable",
+    504: "Server Time-out",
     505: "Version Not Supported",
 }
 SINGLE = ("From", "To", "Call-ID", "CSeq")  # needed, and once only
@@ -59,7 +73,7 @@
         raise
     except (ValueError, KeyError, IndexError, TypeError, AttributeError, RecursionError) as fault:
         raise BadMessage(f"{type(fault).__name__}: {fault}") from None
-    if cseq.sequence >= 2 ** 31:
+    if cseq.sequence >= 2**31:
         raise BadMessage("CSeq is too large")
     if isinstance(message, Request) and cseq.method != message.method:
         raise BadMessage("CSeq names another method")
@@ -93,8 +107,9 @@
     return response
 
 
-def response_to(request: Request, code: int, tag: str = "", body: bytes = b"",
-                extra: tuple[tuple[str, str], ...] = ()) -> Response:
+def response_to(
+    request: Request, code: int, tag: str = "", body: bytes = b"", extra: tuple[tuple[str, str], ...] = ()
+) -> Response:
     response = Response(code, PHRASES[code], body)
     for name in ("Via", "Record-Route", *SINGLE):
         if name == "Record-Route" and (request.method != "INVITE" or not 101 <= code < 300):
@@ -109,8 +124,9 @@
     return response
 
 
-def new_request(method: str, uri: str, via: Via, sender: str, recipient: str, call_id: str, sequence: int,
-                hops: int = 70) -> Request:
+def new_request(
+    method: str, uri: str, via: Via, sender: str, recipient: str, call_id: str, sequence: int, hops: int = 70
+) -> Request:
     request = Request(method, URI.parse(uri))
     request.via = [via]
     request.headers.set("Max-Forwards", str(hops))
@@ -159,6 +175,25 @@
     return Via(transport, host, port, Parameters(branch=branch(), rport=None))
 
 
-__all__ = ["ALLOW", "COOKIE", "METHODS", "PHRASES", "Address", "BadMessage", "CSeq", "Request", "Response",
-           "URI", "answer_to_unreadable", "branch", "mark_via", "new_request", "parse", "response_to", "tag",
-           "tag_of", "via_of", "with_body"]
+__all__ = [
+    "ALLOW",
+    "COOKIE",
+    "METHODS",
+    "PHRASES",
+    "Address",
+    "BadMessage",
+    "CSeq",
+    "Request",
+    "Response",
+    "URI",
+    "answer_to_unreadable",
+    "branch",
+    "mark_via",
+    "new_request",
+    "parse",
+    "response_to",
+    "tag",
+    "tag_of",
+    "via_of",
+    "with_body",
+]
--- a/chutefork/sip/node.py
+++ b/chutefork/sip/node.py
@@ -40,8 +40,13 @@
         self.membership.start()
         if self.config.consul.register:
             self.registration = Registration(
-                self.config.consul, self.clock, self.config.name, self.agent.address,
-                {"number": str(self.config.settings.own_number)}, lambda: bool(self.legs.hubs))
+                self.config.consul,
+                self.clock,
+                self.config.name,
+                self.agent.address,
+                {"number": str(self.config.settings.own_number)},
+                lambda: bool(self.legs.hubs),
+            )
             self.registration.start()
         log(f"serving-sip name={self.config.name} listen={self.transport.host}:{self.transport.port}")
 
--- a/chutefork/sip/settings.py
+++ b/chutefork/sip/settings.py
@@ -68,8 +68,14 @@
             raise ConfigError(f"{item.path}.class: {name!r} is none of settings.services")
         if tenant and tenant not in tenants:
             raise ConfigError(f"{item.path}.tenant: {tenant!r} is none of settings.accounts")
-        routes.append(Route(prefix, int(item.number("destination")), classes.index(name),
-                            tenants.index(tenant) if tenant else 0))
+        routes.append(
+            Route(
+                prefix,
+                int(item.number("destination")),
+                classes.index(name),
+                tenants.index(tenant) if tenant else 0,
+            )
+        )
     if not routes:
         raise ConfigError("routes: at least one is needed")
     t1_ms, trying_ms = root.number("t1_ms", 500), root.number("trying_ms", 800)
@@ -94,9 +100,22 @@
         if not 1 <= value <= 600:
             raise ConfigError(f"consul.{key}: must lie between 1 and 600, is {value!r}")
     return SipConfig(
-        name=root.text("name"), listen=address_of(root.text("listen"), "listen"), advertise=advertise,
-        t1_s=t1_ms / 1000, trying_s=trying_ms / 1000, peers=frozenset(peers), routes=tuple(routes),
-        consul=ConsulConfig(address, consul.text("service"), consul.text("register", ""), ttl_s, wait_s,
-                            consul.text("token", "")),
-        settings=settings, connect_timeout_s=inner.node("limits").number("connect_timeout_s"),
-        sockets=int(sockets))
+        name=root.text("name"),
+        listen=address_of(root.text("listen"), "listen"),
+        advertise=advertise,
+        t1_s=t1_ms / 1000,
+        trying_s=trying_ms / 1000,
+        peers=frozenset(peers),
+        routes=tuple(routes),
+        consul=ConsulConfig(
+            address,
+            consul.text("service"),
+            consul.text("register", ""),
+            ttl_s,
+            wait_s,
+            consul.text("token", ""),
+        ),
+        settings=settings,
+        connect_timeout_s=inner.node("limits").number("connect_timeout_s"),
+        sockets=int(sockets),
+    )
--- a/chutefork/sip/transactions.py
+++ b/chutefork/sip/transactions.py
@@ -118,8 +118,15 @@
 class ClientTransaction(Machine):
     """`heard` is told of each response that goes up, `failed` that none will come: timeout, transport."""
 
-    def __init__(self, layer: TransactionLayer, key: tuple, request: sip.Request, target: Target,
-                 heard: Callable[[sip.Response], None], failed: Callable[[str], None]) -> None:
+    def __init__(
+        self,
+        layer: TransactionLayer,
+        key: tuple,
+        request: sip.Request,
+        target: Target,
+        heard: Callable[[sip.Response], None],
+        failed: Callable[[str], None],
+    ) -> None:
         super().__init__(layer, key, target.transport == "TCP")
         self.request = request
         self.target = target
@@ -240,8 +247,15 @@
             return mark, via.host.lower(), via.port or 5060, method
         # RFC 3261 17.2.3: without the cookie, what must be equal in an RFC 2543 request and its repeats
         tag = "" if method == "INVITE" else sip.tag_of(request.to_address)
-        return (str(request.uri), tag, sip.tag_of(request.from_address), request.call_id,
-                request.cseq.sequence, str(via), method)
+        return (
+            str(request.uri),
+            tag,
+            sip.tag_of(request.from_address),
+            request.call_id,
+            request.cseq.sequence,
+            str(via),
+            method,
+        )
 
     def receive(self, message: sip.Request | sip.Response, source: Target) -> None:
         if isinstance(message, sip.Response):
@@ -277,8 +291,13 @@
         server = self.servers.get(self.server_key(cancel, "INVITE"))
         return server if isinstance(server, InviteServer) else None
 
-    def request(self, request: sip.Request, target: Target, heard: Callable[[sip.Response], None],
-                failed: Callable[[str], None]) -> ClientTransaction:
+    def request(
+        self,
+        request: sip.Request,
+        target: Target,
+        heard: Callable[[sip.Response], None],
+        failed: Callable[[str], None],
+    ) -> ClientTransaction:
         key = request.via[0].parameters["branch"], request.method
         kind = InviteClient if request.method == "INVITE" else OtherClient
         client = self.clients[key] = kind(self, key, request, target, heard, failed)
@@ -289,8 +308,15 @@
     def beside(request: sip.Request, method: str) -> sip.Request:
         """A CANCEL, or the ACK of a refusal: the INVITE's own headers and branch."""
         headers = request.headers
-        made = sip.new_request(method, str(request.uri), request.via[0], headers["From"], headers["To"],
-                               request.call_id, request.cseq.sequence)
+        made = sip.new_request(
+            method,
+            str(request.uri),
+            request.via[0],
+            headers["From"],
+            headers["To"],
+            request.call_id,
+            request.cseq.sequence,
+        )
         for value in headers.getlist("Route"):
             made.headers.add("Route", value)
         return made
--- a/chutefork/sip/transport.py
+++ b/chutefork/sip/transport.py
@@ -84,7 +84,7 @@
         return data
 
     def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
-        part, rest = data[:self.missing], data[self.missing:]
+        part, rest = data[: self.missing], data[self.missing :]
         self.body.append(part)
         self.missing -= len(part)
         if not self.missing:
@@ -113,8 +113,10 @@
 
     def clientConnectionFailed(self, connector: object, reason: object) -> None:  # noqa: N802
         refused = reason.check(error.ConnectionRefusedError) is not None
-        log(f"end role=sip peer={self.key[0]}:{self.key[1]} code={'refused' if refused else 'unreached'}"
-            " age_ms=0 in=0 out=0")
+        log(
+            f"end role=sip peer={self.key[0]}:{self.key[1]} code={'refused' if refused else 'unreached'}"
+            " age_ms=0 in=0 out=0"
+        )
         self.hub.unsent(self.key)
 
 
@@ -149,8 +151,9 @@
 
 
 class SipTransport:
-    def __init__(self, clock: TurnReactor, listen: tuple[str, int], connect_timeout_s: float,
-                 sockets: int) -> None:
+    def __init__(
+        self, clock: TurnReactor, listen: tuple[str, int], connect_timeout_s: float, sockets: int
+    ) -> None:
         self.clock = clock
         self.most = max(round(sockets * STREAMS_SHARE), 1)
         self.host, self.port = listen
@@ -168,8 +171,9 @@
         for last in (False, False, False, True):  # with port 0 the one found for TCP may be taken for UDP
             listening = self.clock.listenTCP(self.port, factory, interface=self.host)
             try:
-                self.udp = self.clock.listenUDP(listening.getHost().port, datagrams, interface=self.host,
-                                                maxPacketSize=65536)
+                self.udp = self.clock.listenUDP(
+                    listening.getHost().port, datagrams, interface=self.host, maxPacketSize=65536
+                )
             except error.CannotListenError:
                 listening.stopListening()
                 if last or self.port:
--- a/chutefork/wirehost.py
+++ b/chutefork/wirehost.py
@@ -37,15 +37,40 @@
 BAIL_OUT = 87
 EVERY_PEER = 0xFFFF
 
-OUTCOMES = {0: api.Outcome.ERROR, 1: api.Outcome.OK, 2: api.Outcome.NOT_SET_UP, 3: api.Outcome.TIMEOUT,
-            4: api.Outcome.NOT_REACHED, 5: api.Outcome.CUT, 6: api.Outcome.CANCELLED, 7: api.Outcome.NOT_SENT}
-REASONS = {0: api.Reason.NONE, 1: api.Reason.NO_CIRCUIT, 2: api.Reason.TURNED_BACK,
-           3: api.Reason.PROCESSOR_FULL, 4: api.Reason.LINES_BUSY}
+OUTCOMES = {
+    0: api.Outcome.ERROR,
+    1: api.Outcome.OK,
+    2: api.Outcome.NOT_SET_UP,
+    3: api.Outcome.TIMEOUT,
+    4: api.Outcome.NOT_REACHED,
+    5: api.Outcome.CUT,
+    6: api.Outcome.CANCELLED,
+    7: api.Outcome.NOT_SENT,
+}
+REASONS = {
+    0: api.Reason.NONE,
+    1: api.Reason.NO_CIRCUIT,
+    2: api.Reason.TURNED_BACK,
+    3: api.Reason.PROCESSOR_FULL,
+    4: api.Reason.LINES_BUSY,
+}
 STATES = {0: api.SwitchState.GONE, 1: api.SwitchState.READY, 2: api.SwitchState.DRAINING}
-LISTS = {0: api.ListKind.CHANGES, 1: api.ListKind.REMEMBERED, 2: api.ListKind.FAILED,
-         3: api.ListKind.COMPLETE}
-FIELDS = {"idle": "free_circuits", "circuits": "group_circuits", "active": "active", "waiting": "waiting",
-          "cpu": "busy_share", "avg_ms": "wait_s", "max_rate": "capacity_per_s", "reduce": "hold_back_share"}
+LISTS = {
+    0: api.ListKind.CHANGES,
+    1: api.ListKind.REMEMBERED,
+    2: api.ListKind.FAILED,
+    3: api.ListKind.COMPLETE,
+}
+FIELDS = {
+    "idle": "free_circuits",
+    "circuits": "group_circuits",
+    "active": "active",
+    "waiting": "waiting",
+    "cpu": "busy_share",
+    "avg_ms": "wait_s",
+    "max_rate": "capacity_per_s",
+    "reduce": "hold_back_share",
+}
 
 
 class WireError(Exception):
@@ -94,26 +119,45 @@
     for place in range(names):
         path = f"services.{place}."
         pools = pairs.numbers(f"family_info.pools_by_class.{place}") if pools_form else []
-        classes.append(api.CallClass(
-            aim_s=pairs.number(path + "target_s"), deadline_s=pairs.number(path + "deadline_s"),
-            worth=pairs.number(path + "worth"), late_worth_share=pairs.number(path + "late_worth"),
-            width_circuits=int(widths[place]), length_s=lengths[place], pools=tuple(map(int, pools))))
-    tenants = tuple(api.Tenant(quota_per_s=pairs.number(f"accounts.{place}.quota_per_s"))
-                    for place in range(pairs.count("accounts")))
+        classes.append(
+            api.CallClass(
+                aim_s=pairs.number(path + "target_s"),
+                deadline_s=pairs.number(path + "deadline_s"),
+                worth=pairs.number(path + "worth"),
+                late_worth_share=pairs.number(path + "late_worth"),
+                width_circuits=int(widths[place]),
+                length_s=lengths[place],
+                pools=tuple(map(int, pools)),
+            )
+        )
+    tenants = tuple(
+        api.Tenant(quota_per_s=pairs.number(f"accounts.{place}.quota_per_s"))
+        for place in range(pairs.count("accounts"))
+    )
     return api.Settings(
-        seed=seed, own_number=int(pairs.number("family_info.self_no")),
-        controllers=int(pairs.number("balancers")), pools_form=pools_form, classes=tuple(classes),
-        tenants=tenants, over_share_worth=pairs.number("over_share_worth"),
-        release_s=pairs.number("family_info.release_s"), resend_s=pairs.number("family_info.retransmit_s"),
-        max_attempts=int(pairs.number("limits.max_attempts")), probes_allowed=pairs.flag("limits.probes"),
-        messages_allowed=pairs.flag("limits.peers"), hold_off_allowed=pairs.flag("limits.retry_after"),
+        seed=seed,
+        own_number=int(pairs.number("family_info.self_no")),
+        controllers=int(pairs.number("balancers")),
+        pools_form=pools_form,
+        classes=tuple(classes),
+        tenants=tenants,
+        over_share_worth=pairs.number("over_share_worth"),
+        release_s=pairs.number("family_info.release_s"),
+        resend_s=pairs.number("family_info.retransmit_s"),
+        max_attempts=int(pairs.number("limits.max_attempts")),
+        probes_allowed=pairs.flag("limits.probes"),
+        messages_allowed=pairs.flag("limits.peers"),
+        hold_off_allowed=pairs.flag("limits.retry_after"),
         max_hold_off_s=pairs.number("limits.max_retry_after_s"),
         list_on_request=pairs.text("membership_mode") == "ask",
         ask_within_s=pairs.number("rules.ask_within_s"),
         drain_grace_s=pairs.number("rules.stop_sending_within_s"),
         cold_share=pairs.number("rules.cold_share"),
-        warm_up_s=pairs.number("rules.warm_up_s"), tip_multiple=pairs.number("rules.tip_multiple"),
-        fall_s=pairs.number("rules.fall_s"), tick_s=pairs.number("tick_s"))
+        warm_up_s=pairs.number("rules.warm_up_s"),
+        tip_multiple=pairs.number("rules.tip_multiple"),
+        fall_s=pairs.number("rules.fall_s"),
+        tick_s=pairs.number("tick_s"),
+    )
 
 
 class Instance:
@@ -176,16 +220,36 @@
         if code == 26:
             (_, call, width, left, tenant, key, _work, bits, far, qos, via) = SUBMIT.unpack_from(body, at)
             at += SUBMIT.size
-            event = api.Arrival(call, qos, width, left, tenant, key, int(far), bool(bits & 8),
-                                bool(bits & 16), bool(bits & 2), int(via))
+            event = api.Arrival(
+                call,
+                qos,
+                width,
+                left,
+                tenant,
+                key,
+                int(far),
+                bool(bits & 8),
+                bool(bits & 16),
+                bool(bits & 2),
+                int(via),
+            )
         elif code == 25:
             _, call, attempt, switch, result, rtt, over, why, n = ENDED.unpack_from(body, at)
             at += ENDED.size
             values = struct.unpack_from(f"<{n}f", body, at)
             at += 4 * n
             outcome, (reason, wait) = known(OUTCOMES, result, "outcome"), reason_of(why)
-            event = api.AttemptEnded(call, attempt, switch, outcome, rtt, bool(over), reason, wait,
-                                     holder.load(values) if holder else None)
+            event = api.AttemptEnded(
+                call,
+                attempt,
+                switch,
+                outcome,
+                rtt,
+                bool(over),
+                reason,
+                wait,
+                holder.load(values) if holder else None,
+            )
         elif code == 17:
             _, call, attempt, switch, rtt = FLOWING.unpack_from(body, at)
             at += FLOWING.size
@@ -195,8 +259,13 @@
             at += ECHO.size
             values = struct.unpack_from(f"<{n}f", body, at)
             at += 4 * n
-            event = api.Report(switch, result == 1, rtt, not (result == 1 and rtt == 0),
-                               holder.load(values) if holder else None)
+            event = api.Report(
+                switch,
+                result == 1,
+                rtt,
+                not (result == 1 and rtt == 0),
+                holder.load(values) if holder else None,
+            )
         elif code == 22:
             _, token = DUE.unpack_from(body, at)
             at += DUE.size
@@ -239,7 +308,7 @@
 def take(body: bytes, at: int, size: int) -> bytes:
     if at + size > len(body):
         raise WireError("truncated record")
-    return body[at:at + size]
+    return body[at : at + size]
 
 
 def known(table: dict, value: int, what: str):
--- a/tests/desk.py
+++ b/tests/desk.py
@@ -25,13 +25,33 @@
     Withdrawn,
 )
 
-CLASS = CallClass(aim_s=2.0, deadline_s=9.0, worth=1.0, late_worth_share=0.2, width_circuits=1, length_s=10.0,
-                  pools=())
-SETTINGS = Settings(seed=7, own_number=0, controllers=5, pools_form=False, classes=(CLASS,), tenants=(),
-                    over_share_worth=0.1, release_s=0.4, resend_s=0.0, max_attempts=5, probes_allowed=False,
-                    messages_allowed=False, hold_off_allowed=True, max_hold_off_s=2.0, list_on_request=False,
-                    ask_within_s=10.0, drain_grace_s=0.5, cold_share=0.3, warm_up_s=12.0, tip_multiple=3.0,
-                    fall_s=1.0, tick_s=0.005)
+CLASS = CallClass(
+    aim_s=2.0, deadline_s=9.0, worth=1.0, late_worth_share=0.2, width_circuits=1, length_s=10.0, pools=()
+)
+SETTINGS = Settings(
+    seed=7,
+    own_number=0,
+    controllers=5,
+    pools_form=False,
+    classes=(CLASS,),
+    tenants=(),
+    over_share_worth=0.1,
+    release_s=0.4,
+    resend_s=0.0,
+    max_attempts=5,
+    probes_allowed=False,
+    messages_allowed=False,
+    hold_off_allowed=True,
+    max_hold_off_s=2.0,
+    list_on_request=False,
+    ask_within_s=10.0,
+    drain_grace_s=0.5,
+    cold_share=0.3,
+    warm_up_s=12.0,
+    tip_multiple=3.0,
+    fall_s=1.0,
+    tick_s=0.005,
+)
 
 
 class Desk:
@@ -40,8 +60,7 @@
         self.controller = CallController(self.settings)
         self.now = 100.0
         self.next_call = 0
-        self.list(*[(100 + n, n, SwitchState.READY, 0.0) for n in range(far + 1)],
-                  kind=ListKind.REMEMBERED)
+        self.list(*[(100 + n, n, SwitchState.READY, 0.0) for n in range(far + 1)], kind=ListKind.REMEMBERED)
         for n in range(1, far + 1):
             self.circuits(n, circuits)
 
@@ -61,8 +80,9 @@
 
     def call(self, dest=1, left=3.0, transit=False, advice=-1, called=0, width=1, tenant=0, cls=0):
         self.next_call += 1
-        return self.tell(Arrival(self.next_call, cls, width, left, tenant, called, dest, transit, False,
-                                 False, advice))
+        return self.tell(
+            Arrival(self.next_call, cls, width, left, tenant, called, dest, transit, False, False, advice)
+        )
 
     def stands(self, call, switch, attempt=0, elapsed=0.1):
         return self.tell(Stands(call, attempt, switch, elapsed))
@@ -92,5 +112,21 @@
     return of(actions, Refuse) + of(actions, Fail)
 
 
-__all__ = ["CLASS", "SETTINGS", "Desk", "Entry", "Fail", "ListKind", "Load", "Outcome", "Reason", "Refuse",
-           "SetTimer", "SetUp", "SwitchState", "answers", "of", "sends"]
+__all__ = [
+    "CLASS",
+    "SETTINGS",
+    "Desk",
+    "Entry",
+    "Fail",
+    "ListKind",
+    "Load",
+    "Outcome",
+    "Reason",
+    "Refuse",
+    "SetTimer",
+    "SetUp",
+    "SwitchState",
+    "answers",
+    "of",
+    "sends",
+]
--- a/tests/sipstand.py
+++ b/tests/sipstand.py
@@ -147,8 +147,11 @@
             lines += [f"{name}: {value}" for value in request.all(name)]
         to = request.get("To")
         lines.append(f"To: {to}" + ("" if "tag=" in to or code == 100 else f";tag={tag or 'hub'}"))
-        lines += [f"Contact: <sip:%s:%d;transport={self.transport.lower()}>" % self.address, *extra,
-                  f"Content-Length: {len(body)}"]
+        lines += [
+            f"Contact: <sip:%s:%d;transport={self.transport.lower()}>" % self.address,
+            *extra,
+            f"Content-Length: {len(body)}",
+        ]
         if body:
             lines.insert(-1, "Content-Type: application/sdp")
         self.send("\r\n".join(lines + ["", ""]).encode() + body)
@@ -164,20 +167,35 @@
 
     calls = 0
 
-    def request(self, method, number="100", cseq=1, to_tag="", branch=None, body=b"", extra=(), call=None,
-                max_forwards=70):
+    def request(
+        self,
+        method,
+        number="100",
+        cseq=1,
+        to_tag="",
+        branch=None,
+        body=b"",
+        extra=(),
+        call=None,
+        max_forwards=70,
+    ):
         if call is None:
             Agent.calls += 1
             call = f"call-{Agent.calls}-{time.monotonic_ns()}"
         self.call, self.branch = call, branch or f"z9hG4bK-{method}+{cseq}-{call}"
         host, port = self.address
-        lines = [f"{method} sip:{number}@127.0.0.1 SIP/2.0",
-                 f"Via: SIP/2.0/{self.transport} 127.0.0.1:{port};branch={self.branch};rport",
-                 f"Max-Forwards: {max_forwards}", f"From: \"Counter\" <sip:counter@{host}>;tag=me",
-                 f"To: <sip:{number}@127.0.0.1>" + (f";tag={to_tag}" if to_tag else ""), f"Call-ID: {call}",
-                 f"CSeq: {cseq} {method}",
-                 f"Contact: <sip:me@{host}:{port};transport={self.transport.lower()}>",
-                 *extra, f"Content-Length: {len(body)}"]
+        lines = [
+            f"{method} sip:{number}@127.0.0.1 SIP/2.0",
+            f"Via: SIP/2.0/{self.transport} 127.0.0.1:{port};branch={self.branch};rport",
+            f"Max-Forwards: {max_forwards}",
+            f'From: "Counter" <sip:counter@{host}>;tag=me',
+            f"To: <sip:{number}@127.0.0.1>" + (f";tag={to_tag}" if to_tag else ""),
+            f"Call-ID: {call}",
+            f"CSeq: {cseq} {method}",
+            f"Contact: <sip:me@{host}:{port};transport={self.transport.lower()}>",
+            *extra,
+            f"Content-Length: {len(body)}",
+        ]
         if body:
             lines.insert(-1, "Content-Type: application/sdp")
         data = "\r\n".join(lines + ["", ""]).encode() + body
@@ -195,8 +213,14 @@
     def within(self, method, answer, cseq=2, body=b""):
         """A request in the dialog of an answer: ACK keeps the INVITE's number."""
         tag = answer.get("To").partition("tag=")[2]
-        self.request(method, cseq=1 if method == "ACK" else cseq, to_tag=tag, call=answer.get("Call-ID"),
-                     branch=f"z9hG4bK-{method}-{time.monotonic_ns()}", body=body)
+        self.request(
+            method,
+            cseq=1 if method == "ACK" else cseq,
+            to_tag=tag,
+            call=answer.get("Call-ID"),
+            branch=f"z9hG4bK-{method}-{time.monotonic_ns()}",
+            body=body,
+        )
 
     def ack_refusal(self, answer):
         tag = answer.get("To").partition("tag=")[2]
@@ -262,11 +286,20 @@
 
     def view(self, path):
         if "/catalog/" in path:
-            return [{"ServiceID": name, "Address": "127.0.0.1", "ServiceAddress": "127.0.0.1",
-                     "ServicePort": port, "ServiceMeta": {"number": str(number), "transport": transport}}
-                    for name, (number, port, transport, _) in self.services.items()]
-        return [{"Service": {"ID": name}, "Checks": [{"CheckID": check, "Status": status}]}
-                for name, (_, _, _, (check, status)) in self.services.items()]
+            return [
+                {
+                    "ServiceID": name,
+                    "Address": "127.0.0.1",
+                    "ServiceAddress": "127.0.0.1",
+                    "ServicePort": port,
+                    "ServiceMeta": {"number": str(number), "transport": transport},
+                }
+                for name, (number, port, transport, _) in self.services.items()
+            ]
+        return [
+            {"Service": {"ID": name}, "Checks": [{"CheckID": check, "Status": status}]}
+            for name, (_, _, _, (check, status)) in self.services.items()
+        ]
 
     def put(self, name, number=None, peer=None, status="passing", check="service:x", index=None):
         with self.changed:
@@ -286,8 +319,9 @@
 
     def asked(self, index, times=2):
         """Until the program has taken in an index: it asks both questions from there on."""
-        until(lambda: sum(query[1] == index for query in list(self.queries)) >= times,
-              f"queries from {index}")
+        until(
+            lambda: sum(query[1] == index for query in list(self.queries)) >= times, f"queries from {index}"
+        )
 
     def close(self):
         self.server.shutdown()
@@ -324,11 +358,17 @@
 
     def start(self):
         text = (ROOT / "deploy" / "sip.toml").read_text()
-        for old, new in (("enabled = false", "enabled = true"), ("127.0.0.1:5060", "127.0.0.1:0"),
-                         ("127.0.0.1:8500", f"127.0.0.1:{self.consul.port}"), ("t1_ms = 500", "t1_ms = 40"),
-                         ("trying_ms = 800", "trying_ms = 300"), ("ttl_s = 10", "ttl_s = 1"),
-                         ("wait_s = 30", "wait_s = 2"), ('prefix = "2"', 'prefix = "200"'),
-                         *self.changes.items()):
+        for old, new in (
+            ("enabled = false", "enabled = true"),
+            ("127.0.0.1:5060", "127.0.0.1:0"),
+            ("127.0.0.1:8500", f"127.0.0.1:{self.consul.port}"),
+            ("t1_ms = 500", "t1_ms = 40"),
+            ("trying_ms = 800", "trying_ms = 300"),
+            ("ttl_s = 10", "ttl_s = 1"),
+            ("wait_s = 30", "wait_s = 2"),
+            ('prefix = "2"', 'prefix = "200"'),
+            *self.changes.items(),
+        ):
             assert old in text, old
             text = text.replace(old, new)
         tomllib.loads(text)
--- a/tests/stand.py
+++ b/tests/stand.py
@@ -19,16 +19,38 @@
 PATIENCE_S = 10.0  # no test waits that long unless it fails
 
 SETTINGS = {
-    "balancers": 3, "tick_s": 0.005, "over_share_worth": 0.2,
-    "family_info": {"self_no": 0, "network_form": "network", "widths": [1, 1], "call_length_s": [9.5, 11.5],
-                    "release_s": 0.3, "retransmit_s": 0.0},
-    "limits": {"max_attempts": 6, "probes": False, "peers": False, "retry_after": True,
-               "max_retry_after_s": 2.0, "connect_timeout_s": 0.5, "idle_close_s": 600.0},
-    "rules": {"ask_within_s": 10.0, "stop_sending_within_s": 0.25, "cold_share": 0.29, "warm_up_s": 14.0,
-              "tip_multiple": 3.0, "fall_s": 2.0},
-    "services": [{"name": "rate-quote", "target_s": 1.5, "deadline_s": 9.0, "worth": 1.0, "late_worth": 0.1},
-                 {"name": "transfer-status", "target_s": 1.5, "deadline_s": 9.0, "worth": 2.0,
-                  "late_worth": 0.25}],
+    "balancers": 3,
+    "tick_s": 0.005,
+    "over_share_worth": 0.2,
+    "family_info": {
+        "self_no": 0,
+        "network_form": "network",
+        "widths": [1, 1],
+        "call_length_s": [9.5, 11.5],
+        "release_s": 0.3,
+        "retransmit_s": 0.0,
+    },
+    "limits": {
+        "max_attempts": 6,
+        "probes": False,
+        "peers": False,
+        "retry_after": True,
+        "max_retry_after_s": 2.0,
+        "connect_timeout_s": 0.5,
+        "idle_close_s": 600.0,
+    },
+    "rules": {
+        "ask_within_s": 10.0,
+        "stop_sending_within_s": 0.25,
+        "cold_share": 0.29,
+        "warm_up_s": 14.0,
+        "tip_multiple": 3.0,
+        "fall_s": 2.0,
+    },
+    "services": [
+        {"name": "rate-quote", "target_s": 1.5, "deadline_s": 9.0, "worth": 1.0, "late_worth": 0.1},
+        {"name": "transfer-status", "target_s": 1.5, "deadline_s": 9.0, "worth": 2.0, "late_worth": 0.25},
+    ],
     "accounts": [{"name": "gaucha-envios", "quota_per_s": 17.0}],
 }
 
@@ -68,8 +90,14 @@
         self.sock.sendall(json.dumps(record).encode() + b"\n")
 
     def launch(self, uid, dest=1, left=1500, body="sdp", extras="width:1;via:-1", **more):
-        meta = {"class": "rate-quote", "left": str(left), "tenant": "gaucha-envios", "key": "7f3a",
-                "extras": f"dest:{dest};{extras}", **more}
+        meta = {
+            "class": "rate-quote",
+            "left": str(left),
+            "tenant": "gaucha-envios",
+            "key": "7f3a",
+            "extras": f"dest:{dest};{extras}",
+            **more,
+        }
         self.send(kind="launch", uid=uid, meta=meta, body=body)
 
     def read(self):
@@ -95,7 +123,7 @@
     at, found = 9, {}
     while at < len(data):
         code, size = struct.unpack_from("!BH", data, at)
-        found[code] = data[at + 3:at + 3 + size]
+        found[code] = data[at + 3 : at + 3 + size]
         at += 3 + size
     return found
 
@@ -117,8 +145,16 @@
         return link
 
     def entry(self, status="Ready", since=0):
-        return {"name": self.name, "address": where(self.sock), "zone": "z", "type": "std",
-                "group": self.number, "status": status, "weight": 1, "since_ms": since}
+        return {
+            "name": self.name,
+            "address": where(self.sock),
+            "zone": "z",
+            "type": "std",
+            "group": self.number,
+            "status": status,
+            "weight": 1,
+            "since_ms": since,
+        }
 
     def read(self, link=None):
         """The next frame: type, call and parameters; None when the connection has ended."""
@@ -147,12 +183,14 @@
 
     def chatter(self, gap_s=0.05):
         """States of the group, as a real exchange tells them all the time."""
+
         def go(link=self.links[-1]):
             with contextlib.suppress(OSError):
                 while not self.quiet:
                     self.send(43, "0" * 16, (43, b"idle:9000;circuits:9000"), link=link)
                     self.told += 1
                     time.sleep(gap_s)
+
         threading.Thread(target=go, daemon=True).start()
 
     def answer(self, uid, description=b"answer"):
@@ -179,8 +217,10 @@
 
     def tell(self, *entries, **more):
         with self.changed:
-            record = {"cursor": len(self.events) + 1,
-                      "nodes": {"index": 1, "snapshot": not self.events, "endpoints": list(entries)}}
+            record = {
+                "cursor": len(self.events) + 1,
+                "nodes": {"index": 1, "snapshot": not self.events, "endpoints": list(entries)},
+            }
             self.events.append({**record, **more})
             self.changed.notify_all()
 
@@ -208,8 +248,9 @@
             with self.changed:
                 self.polls += 1
                 self.changed.notify_all()
-                self.changed.wait_for(lambda after=after: len(self.events) > after,
-                                      int(query["block"]) / 1000)
+                self.changed.wait_for(
+                    lambda after=after: len(self.events) > after, int(query["block"]) / 1000
+                )
                 body = json.dumps({"cursor": len(self.events), "cmds": self.events[after:]}).encode()
             try:
                 file.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
@@ -226,8 +267,13 @@
 
     def __init__(self, env):
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "chutefork"], cwd=ROOT, env={**os.environ, **env},
-            stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True)
+            [sys.executable, "-m", "chutefork"],
+            cwd=ROOT,
+            env={**os.environ, **env},
+            stdout=subprocess.PIPE,
+            stderr=subprocess.STDOUT,
+            text=True,
+        )
         self.lines = []
         self.reader = threading.Thread(target=self._gather, daemon=True)
         self.reader.start()
@@ -283,11 +329,18 @@
 
     def start(self, known=True, settings=None, env=None, limits=None):
         self.listen = ("127.0.0.1", 0)
-        config = {"name": "n0", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964",
-                  "channel": where(self.channel.sock), "settings": settings or SETTINGS,
-                  "known": {"cursor": len(self.channel.events) if known else 0,
-                            "cmds": self.channel.events if known else []},
-                  "limits": limits or {"cores": 1.0, "memory_mb": 192, "sockets": 1024}}
+        config = {
+            "name": "n0",
+            "listen": "127.0.0.1:0",
+            "seed": "8c1f30d27a5be964",
+            "channel": where(self.channel.sock),
+            "settings": settings or SETTINGS,
+            "known": {
+                "cursor": len(self.channel.events) if known else 0,
+                "cmds": self.channel.events if known else [],
+            },
+            "limits": limits or {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        }
         self.config, self.path = config, Path(self.folder.name) / "config.json"
         self.path.write_text(json.dumps(config))
         program = Program({"EDGE_CONFIG": str(self.path), "EDGE_LISTEN": "127.0.0.1:0", **(env or {})})
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -103,6 +103,7 @@
 def test_an_exception_of_the_module_is_not_swallowed(monkeypatch):
     def broken(self, now, event):
         raise RuntimeError("broken on purpose")
+
     monkeypatch.setattr(wirehost.CallController, "handle", broken)
     reply = run(frame(0, 10.0, boot(), pool(), listed()))
     text = b"RuntimeError: broken on purpose"
--- a/tests/test_ladder.py
+++ b/tests/test_ladder.py
@@ -90,8 +90,14 @@
 
 
 def test_a_reported_long_wait_reads_over_and_absent_fields_are_no_reading():
-    cases = ((Load(wait_s=5.0), 1), (Load(waiting=50.0, capacity_per_s=10.0), 1), (Load(wait_s=0.01), 0),
-             (Load(waiting=50.0), 0), (Load(capacity_per_s=10.0), 0), (None, 0))
+    cases = (
+        (Load(wait_s=5.0), 1),
+        (Load(waiting=50.0, capacity_per_s=10.0), 1),
+        (Load(wait_s=0.01), 0),
+        (Load(waiting=50.0), 0),
+        (Load(capacity_per_s=10.0), 0),
+        (None, 0),
+    )
     for load, over in cases:
         desk = Desk()
         desk.tell(Report(101, True, 0.1, True, load))
@@ -147,6 +153,7 @@
 
 def test_a_slow_own_processor_refuses_own_calls():
     """All far exchanges slow at once: the wait is at home. One quick answer says it is not."""
+
     def after(answer_times):
         desk = Desk(circuits=1000.0)
         for _ in range(20):
@@ -157,6 +164,7 @@
                     desk.stands(call, switch, elapsed=elapsed)
             desk.at(0.05)
         return desk.controller.own.level
+
     assert after({1: 1.9, 2: 1.9, 3: 1.9}) > 0
     assert after({1: 1.9, 2: 1.9, 3: 0.1}) == 0
 
@@ -225,6 +233,7 @@
         desk = Desk()
         desk.circuits(1, 0.0)
         return [desk.at(0.1).call(dest=1 + n % 4, advice=n % 5) for n in range(60)]
+
     assert run() == run()
     assert not hasattr(CallController, "shared")
 
@@ -262,6 +271,7 @@
         desk.circuits(1, 0.0)
         round_ = sends(desk.call(dest=1))
         return desk.controller.around.level, round_, sends(desk.call(dest=2, transit=True))
+
     assert after({2: 0.6, 3: 0.6, 4: 0.6}) == (2, [], [])
     level, round_, transit = after({2: 0.1, 3: 0.9, 4: 0.1})
     assert level == 0 and len(round_) == 1 and transit == [102]
@@ -318,8 +328,15 @@
 def test_malformed_foreign_and_old_messages_are_passed_over():
     desk = Desk()
     desk.tell(PeerMessage(1, bytes((1, 5))))
-    for sender, payload in ((1, b""), (1, b"x"), (1, bytes((3, 6))), (1, bytes((2, 6, 0))),
-                            (1, bytes((0, 4))), (0, bytes((2, 6))), (77, bytes((2, 6)))):
+    for sender, payload in (
+        (1, b""),
+        (1, b"x"),
+        (1, bytes((3, 6))),
+        (1, bytes((2, 6, 0))),
+        (1, bytes((0, 4))),
+        (0, bytes((2, 6))),
+        (77, bytes((2, 6))),
+    ):
         assert desk.tell(PeerMessage(sender, payload)) == []
     assert [desk.far(n).level for n in range(1, 5)] == [1, 0, 0, 0]
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -172,9 +172,15 @@
         self.program.wait_log("end role=exchange", "code=silent", "2 set-ups open")
 
     def test_a_spoilt_answer_ends_its_link_and_all_that_is_open_there_is_settled_at_once(self):
-        for number, (length, kind, rest) in enumerate((
-                (20, 123, b"\x3d\x00\x0812345678"), (20, 9, b"\x3d\x00\x08\xcc\xfe345678"),
-                (20, 9, b"\x3d\x00\x08\x001234567"), (9, 9, b""), (65523, 9, b"\x3d"))):
+        for number, (length, kind, rest) in enumerate(
+            (
+                (20, 123, b"\x3d\x00\x0812345678"),
+                (20, 9, b"\x3d\x00\x08\xcc\xfe345678"),
+                (20, 9, b"\x3d\x00\x08\x001234567"),
+                (9, 9, b""),
+                (65523, 9, b"\x3d"),
+            )
+        ):
             caller, first, second = self.caller(), f"{number + 1:015x}a", f"{number + 1:015x}b"
             for uid in (first, second):
                 caller.launch(uid, left=1400, key=uid)
@@ -235,7 +241,7 @@
         sent, rest = 0, b""
         while select.select([], [caller.sock], [], 1.0)[1]:
             rest = rest or question * 500
-            rest = rest[caller.sock.send(rest):]
+            rest = rest[caller.sock.send(rest) :]
             sent += 0 if rest else 500
         caller.sock.setblocking(True)
         answers = 0
@@ -381,8 +387,17 @@
         return asked
 
     def test_half_an_event_is_not_taken_and_a_mute_channel_is_asked_anew_soon(self):
-        body = json.dumps({"cursor": 2, "cmds": [{"cursor": 2, "nodes": {
-            "index": 2, "endpoints": [self.one.entry("Gone"), self.two.entry("Gone")]}}]}).encode()
+        body = json.dumps(
+            {
+                "cursor": 2,
+                "cmds": [
+                    {
+                        "cursor": 2,
+                        "nodes": {"index": 2, "endpoints": [self.one.entry("Gone"), self.two.entry("Gone")]},
+                    }
+                ],
+            }
+        ).encode()
         whole = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
         began = time.monotonic()
         asked = self.answer_by_hand(whole[:-60], None, b"", whole)
@@ -523,9 +538,21 @@
         caller, lines = self.caller(), []
         for number in range(6):
             uid = f"{number + 1:016x}"
-            lines += [{"kind": "launch", "uid": uid, "body": "b", "meta": {
-                "class": "rate-quote", "left": "1400", "tenant": "gaucha-envios", "key": "7f",
-                "extras": "dest:1;width:1"}}, {"kind": "stop", "uid": uid, "meta": {}, "reason": 16}]
+            lines += [
+                {
+                    "kind": "launch",
+                    "uid": uid,
+                    "body": "b",
+                    "meta": {
+                        "class": "rate-quote",
+                        "left": "1400",
+                        "tenant": "gaucha-envios",
+                        "key": "7f",
+                        "extras": "dest:1;width:1",
+                    },
+                },
+                {"kind": "stop", "uid": uid, "meta": {}, "reason": 16},
+            ]
         caller.sock.sendall(b"".join(json.dumps(line).encode() + b"\n" for line in lines))
         caller.launch(A)
         self.assertEqual(self.one.read()[:2], (1, A))
@@ -539,8 +566,15 @@
         self.program.wait_log("end role=caller", f"code={code}")
 
     def test_lines_that_cannot_be_read_close_their_connection_with_a_code(self):
-        for data in (b"\xff\xfe\n", b"[]\n", b"{}\n", b'{"kind":5}\n', b'{"kind":"launch","uid":"zz"}\n',
-                     b"[" * 9000 + b"\n", b'{"kind":"stop","uid":"00"}\n'):
+        for data in (
+            b"\xff\xfe\n",
+            b"[]\n",
+            b"{}\n",
+            b'{"kind":5}\n',
+            b'{"kind":"launch","uid":"zz"}\n',
+            b"[" * 9000 + b"\n",
+            b'{"kind":"stop","uid":"00"}\n',
+        ):
             self.program.lines.clear()
             self.ends_with(data, "bad-line")
         self.ends_with(b"x" * 20000, "long-line")
@@ -548,18 +582,31 @@
 
     def test_a_set_up_with_bad_fields_is_failed_and_the_connection_goes_on(self):
         caller = self.caller()
-        for meta in ({}, {"class": "nobody", "left": "1500"}, {"class": "rate-quote", "left": "nan"},
-                     {"class": "rate-quote", "left": "1e999", "extras": "dest:1"},
-                     {"class": "rate-quote", "left": "1500", "extras": "dest:inf"},
-                     {"class": "rate-quote", "left": "1500", "extras": "dest:1;width:-3"}, 7, None):
+        for meta in (
+            {},
+            {"class": "nobody", "left": "1500"},
+            {"class": "rate-quote", "left": "nan"},
+            {"class": "rate-quote", "left": "1e999", "extras": "dest:1"},
+            {"class": "rate-quote", "left": "1500", "extras": "dest:inf"},
+            {"class": "rate-quote", "left": "1500", "extras": "dest:1;width:-3"},
+            7,
+            None,
+        ):
             caller.send(kind="launch", uid=A, meta=meta, body="")
             failed = caller.read()
             self.assertEqual((failed["kind"], failed["uid"], failed["reason"]), ("stop", A, 41))
         self.assertIsNone(caller.read())
         self.program.wait_log("end role=caller", "code=bad-setups")
         caller = self.caller()
-        for more in ({"extras": "dest:1;width:9"}, {"tenant": "nobody"}, {"left": 90000}, {"key": "x"},
-                     {"body": "a\0b"}, {"body": "\ud800"}, {"body": ""}):
+        for more in (
+            {"extras": "dest:1;width:9"},
+            {"tenant": "nobody"},
+            {"left": 90000},
+            {"key": "x"},
+            {"body": "a\0b"},
+            {"body": "\ud800"},
+            {"body": ""},
+        ):
             caller.launch(A, **more)
             self.assertEqual(caller.read()["reason"], 41)
         caller.send(kind="novelty", uid=A, meta={})
@@ -567,8 +614,12 @@
         self.assertEqual(self.one.read()[:2], (1, B))
 
     def test_frames_that_cannot_be_read_close_the_link_and_open_a_new_one(self):
-        for data in (b"\x00\x03abc", b"\x00\x0c\x09" + b"\x00" * 7 + b"\xa1\x3d\x00\x05", b"\xff\xff",
-                     b"\x00\x09\x0c" + b"\x00" * 8):
+        for data in (
+            b"\x00\x03abc",
+            b"\x00\x0c\x09" + b"\x00" * 7 + b"\xa1\x3d\x00\x05",
+            b"\xff\xff",
+            b"\x00\x09\x0c" + b"\x00" * 8,
+        ):
             self.one.links[-1].sendall(data)
             self.assertIsNone(self.one.read())
             self.one.accept()
@@ -624,12 +675,27 @@
 
     def test_a_bad_configuration_ends_the_program_and_names_the_key(self):
         from .stand import Program
+
         wrong = json.loads(json.dumps(SETTINGS))
         del wrong["rules"]["cold_share"]
         path = f"{self.folder.name}/bad.json"
-        for text, key in (("{", "configuration"), ("{}", "seed"), (json.dumps(
-                {"name": "n0", "listen": "127.0.0.1:0", "seed": "1", "channel": "127.0.0.1:1",
-                 "known": {"cursor": 0, "cmds": []}, "settings": wrong}), "settings.rules.cold_share")):
+        for text, key in (
+            ("{", "configuration"),
+            ("{}", "seed"),
+            (
+                json.dumps(
+                    {
+                        "name": "n0",
+                        "listen": "127.0.0.1:0",
+                        "seed": "1",
+                        "channel": "127.0.0.1:1",
+                        "known": {"cursor": 0, "cmds": []},
+                        "settings": wrong,
+                    }
+                ),
+                "settings.rules.cold_share",
+            ),
+        ):
             with open(path, "w") as file:
                 file.write(text)
             program = Program({"EDGE_CONFIG": path})
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -5,19 +5,38 @@
 from .desk import CLASS, SETTINGS
 
 
-@pytest.mark.parametrize("field, value", [
-    ("release_s", -0.1), ("release_s", None), ("controllers", 0), ("cold_share", 0.0), ("cold_share", 1.5),
-    ("tip_multiple", 0.0), ("max_attempts", 0), ("fall_s", float("nan")), ("own_number", -1), ("classes", ()),
-    ("drain_grace_s", "soon"), ("warm_up_s", -1),
-])
+@pytest.mark.parametrize(
+    "field, value",
+    [
+        ("release_s", -0.1),
+        ("release_s", None),
+        ("controllers", 0),
+        ("cold_share", 0.0),
+        ("cold_share", 1.5),
+        ("tip_multiple", 0.0),
+        ("max_attempts", 0),
+        ("fall_s", float("nan")),
+        ("own_number", -1),
+        ("classes", ()),
+        ("drain_grace_s", "soon"),
+        ("warm_up_s", -1),
+    ],
+)
 def test_settings_that_cannot_work_name_the_field(field, value):
     with pytest.raises(ValueError, match=field):
         replace(SETTINGS, **{field: value})
 
 
-@pytest.mark.parametrize("field, value", [
-    ("aim_s", 99.0), ("aim_s", 0.0), ("deadline_s", None), ("worth", -1.0), ("width_circuits", 0),
-])
+@pytest.mark.parametrize(
+    "field, value",
+    [
+        ("aim_s", 99.0),
+        ("aim_s", 0.0),
+        ("deadline_s", None),
+        ("worth", -1.0),
+        ("width_circuits", 0),
+    ],
+)
 def test_a_class_that_cannot_work_names_the_field(field, value):
     with pytest.raises(ValueError, match=field):
         replace(SETTINGS, classes=(replace(CLASS, **{field: value}),))
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -32,8 +32,11 @@
 def test_the_core_knows_no_wire():
     for path in (PACKAGE / "core").glob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
-            names = [node.module or ""] if isinstance(node, ast.ImportFrom) else (
-                [alias.name for alias in node.names] if isinstance(node, ast.Import) else [])
+            names = (
+                [node.module or ""]
+                if isinstance(node, ast.ImportFrom)
+                else ([alias.name for alias in node.names] if isinstance(node, ast.Import) else [])
+            )
             for name in names:
                 first = name.split(".")[0]
                 assert first not in {"twisted", "json", "sipmessage", "net", "sip", "config", "consul"}, path
--- a/tests/test_sip.py
+++ b/tests/test_sip.py
@@ -56,10 +56,14 @@
     def test_a_bye_of_the_hub_ends_the_callers_side(self):
         self.stand()
         host, port = self.address
-        self.one.send((f"BYE sip:{host}:{port} SIP/2.0\r\nVia: SIP/2.0/{self.transport} 127.0.0.1:"
-                       f"{self.one.address[1]};branch=z9hG4bKhub;rport\r\nFrom: {self.ack.get('To')}\r\n"
-                       f"To: {self.ack.get('From')}\r\nCall-ID: {self.ack.get('Call-ID')}\r\nCSeq: 1 BYE\r\n"
-                       "Max-Forwards: 70\r\nContent-Length: 0\r\n\r\n").encode())
+        self.one.send(
+            (
+                f"BYE sip:{host}:{port} SIP/2.0\r\nVia: SIP/2.0/{self.transport} 127.0.0.1:"
+                f"{self.one.address[1]};branch=z9hG4bKhub;rport\r\nFrom: {self.ack.get('To')}\r\n"
+                f"To: {self.ack.get('From')}\r\nCall-ID: {self.ack.get('Call-ID')}\r\nCSeq: 1 BYE\r\n"
+                "Max-Forwards: 70\r\nContent-Length: 0\r\n\r\n"
+            ).encode()
+        )
         self.assertEqual(self.one.expect(200).method, "BYE")
         bye = self.caller.expect("BYE")
         self.assertEqual(bye.get("To"), self.answer.get("From"))
@@ -109,8 +113,9 @@
         self.caller.expect(180)
         self.caller.cancel()
         first, second = self.caller.recv(), self.caller.recv()
-        self.assertEqual({(item.method, item.code) for item in (first, second)},
-                         {("CANCEL", 200), ("INVITE", 487)})
+        self.assertEqual(
+            {(item.method, item.code) for item in (first, second)}, {("CANCEL", 200), ("INVITE", 487)}
+        )
         self.caller.ack_refusal(first if first.code == 487 else second)
         cancel = self.one.expect("CANCEL")
         self.assertEqual(cancel.get("Via"), invite.get("Via"))
@@ -189,8 +194,13 @@
         self.one.expect("ACK")
 
     def test_refusals_of_a_hub_keep_their_meaning(self):
-        for code, extra, wanted in ((486, (), 486), (600, (), 486), (488, (), 500), (603, (), 500),
-                                    (503, ("Retry-After: 7",), 503)):
+        for code, extra, wanted in (
+            (486, (), 486),
+            (600, (), 486),
+            (488, (), 500),
+            (603, (), 500),
+            (503, ("Retry-After: 7",), 503),
+        ):
             began = time.monotonic()
             self.caller.invite()
             self.one.reply(self.one.expect("INVITE"), code, extra=extra)
@@ -226,11 +236,19 @@
 
     def test_requests_that_cannot_be_served_say_why(self):
         for method, code, more in (
-                ("INVITE", 404, {"number": "999"}), ("INVITE", 420, {"extra": ("Require: 100rel",)}),
-                ("INVITE", 483, {"max_forwards": 0}), ("INVITE", 400, {"max_forwards": "many"}),
-                ("INVITE", 415, {"extra": ("Content-Type: text/plain",), "body": b"x"}),
-                ("INVITE", 481, {"to_tag": "nobody"}), ("BYE", 481, {}), ("BYE", 481, {"to_tag": "nobody"}),
-                ("CANCEL", 481, {}), ("MESSAGE", 405, {}), ("REGISTER", 405, {}), ("OPTIONS", 200, {})):
+            ("INVITE", 404, {"number": "999"}),
+            ("INVITE", 420, {"extra": ("Require: 100rel",)}),
+            ("INVITE", 483, {"max_forwards": 0}),
+            ("INVITE", 400, {"max_forwards": "many"}),
+            ("INVITE", 415, {"extra": ("Content-Type: text/plain",), "body": b"x"}),
+            ("INVITE", 481, {"to_tag": "nobody"}),
+            ("BYE", 481, {}),
+            ("BYE", 481, {"to_tag": "nobody"}),
+            ("CANCEL", 481, {}),
+            ("MESSAGE", 405, {}),
+            ("REGISTER", 405, {}),
+            ("OPTIONS", 200, {}),
+        ):
             self.caller.request(method, **more)
             if method == "INVITE":
                 self.caller.invite_branch = self.caller.branch
@@ -247,8 +265,10 @@
 
     def test_route_sets_and_sequence_numbers_of_both_dialogs(self):
         tail = f";lr;transport={self.transport.lower()}"
-        routes = [f"<sip:127.0.0.1:{peer.address[1]}{tail}{part}>" for peer, part in (
-            (self.caller, ""), (self.one, ";p=1"), (self.one, ";p=2"))]
+        routes = [
+            f"<sip:127.0.0.1:{peer.address[1]}{tail}{part}>"
+            for peer, part in ((self.caller, ""), (self.one, ";p=1"), (self.one, ";p=2"))
+        ]
         self.caller.invite(extra=(f"Record-Route: {routes[0]}",))
         invite = self.one.expect("INVITE")
         self.assertEqual(invite.all("Record-Route"), [])
@@ -379,9 +399,11 @@
         self.assertEqual((self.caller.expect(200).code, self.caller.expect(200).code), (200, 200))
 
     def test_a_message_without_its_length_ends_the_connection(self):
-        self.caller.send(b"OPTIONS sip:x@127.0.0.1 SIP/2.0\r\nVia: SIP/2.0/TCP 127.0.0.1;branch=z9hG4bKx\r\n"
-                         b"From: <sip:a@b>;tag=1\r\nTo: <sip:x@127.0.0.1>\r\nCall-ID: c\r\n"
-                         b"CSeq: 1 OPTIONS\r\n\r\n")
+        self.caller.send(
+            b"OPTIONS sip:x@127.0.0.1 SIP/2.0\r\nVia: SIP/2.0/TCP 127.0.0.1;branch=z9hG4bKx\r\n"
+            b"From: <sip:a@b>;tag=1\r\nTo: <sip:x@127.0.0.1>\r\nCall-ID: c\r\n"
+            b"CSeq: 1 OPTIONS\r\n\r\n"
+        )
         self.assertEqual(self.caller.recv().code, 400)
         self.program.wait_log("end role=sip", "code=bad-framing")
 
@@ -416,8 +438,13 @@
         consul.put("hub-1", 1, hub)
         path = f"{self.folder.name}/sip.toml"
         with open(path, "w") as file:
-            file.write((ROOT / "deploy" / "sip.toml").read_text().replace("enabled = false", "enabled = true")
-                       .replace("127.0.0.1:5060", "127.0.0.1:0").replace(":8500", f":{consul.port}"))
+            file.write(
+                (ROOT / "deploy" / "sip.toml")
+                .read_text()
+                .replace("enabled = false", "enabled = true")
+                .replace("127.0.0.1:5060", "127.0.0.1:0")
+                .replace(":8500", f":{consul.port}")
+            )
         program = self.start(env={"CHUTEFORK_SIP": path})
         self.one.accept()
         consul.asked(consul.index)
@@ -504,10 +531,12 @@
     def test_a_bad_file_names_its_key(self):
         text = (ROOT / "deploy" / "sip.toml").read_text().replace("enabled = false", "enabled = true")
         with tempfile.TemporaryDirectory() as folder:
-            for old, new, key in (("t1_ms = 500", "t1_ms = 0", "t1_ms"),
-                                  ("ttl_s = 10", 'ttl_s = "x"', "ttl_s"),
-                                  ('class = "rate-quote"', 'class = "other"', "routes[0].class"),
-                                  ("cold_share = 0.29", "cold_share = 2", "cold_share")):
+            for old, new, key in (
+                ("t1_ms = 500", "t1_ms = 0", "t1_ms"),
+                ("ttl_s = 10", 'ttl_s = "x"', "ttl_s"),
+                ('class = "rate-quote"', 'class = "other"', "routes[0].class"),
+                ("cold_share = 0.29", "cold_share = 2", "cold_share"),
+            ):
                 path = f"{folder}/sip.toml"
                 with open(path, "w") as file:
                     file.write(text.replace(old, new))
