--- a/chutefork/__main__.py
+++ b/chutefork/__main__.py
@@ -17,7 +17,7 @@
 from twisted.logger import globalLogBeginner
 
 from .config import Config, ConfigError, address_of, hubs_of, load
-from .core.messages import Leave
+from .core.messages import Shutdown
 from .core.reducer import State
 from .net.callers import CallerFront
 from .net.channel import Channel
@@ -89,7 +89,7 @@
             self.clock.callLater(0.02, self.leave, until, done)
             return
         log(f"left unanswered={len(self.front.owed)} standing={len(self.front.standing)}")
-        self.driver.tell(Leave())  # SIGKILL may be near: what has no answer by now is refused
+        self.driver.tell(Shutdown())  # SIGKILL may be near: what has no answer by now is refused
         for connection in list(self.front.connections):
             connection.end("leaving")
         self.legs.leave()
--- a/chutefork/config.py
+++ b/chutefork/config.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from . import interface as api
-from .core import messages as m
+from .core import messages
 from .net.clock import UnixPlace
 from .net.connection import log
 
@@ -185,7 +185,7 @@
 }
 
 
-def hubs_of(command: dict, place: UnixPlace) -> m.HubsListed | None:
+def hubs_of(command: dict, place: UnixPlace) -> messages.HubsListed | None:
     """One event of the command channel as the core's; None where it is of a kind not known here."""
     nodes = command.get("nodes") if isinstance(command, dict) else ()
     if nodes is None:
@@ -198,7 +198,7 @@
         try:
             address_of(item["address"], "address")
             hubs.append(
-                m.Hub(
+                messages.Hub(
                     str(item["name"]),
                     int(item["group"]),
                     STATES[item["status"]],
@@ -209,4 +209,4 @@
         except (ConfigError, ValueError, KeyError, TypeError, AttributeError, OverflowError) as fault:
             log(f"bad-endpoint detail={f'{type(fault).__name__}: {fault}'[:160]!r}")
     kind = api.ListKind.COMPLETE if nodes.get("snapshot") else api.ListKind.CHANGES
-    return m.HubsListed(kind, tuple(hubs))
+    return messages.HubsListed(kind, tuple(hubs))
--- a/chutefork/consul.py
+++ b/chutefork/consul.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 from urllib.parse import quote
 
-from .core import messages as m
+from .core import messages
 from .interface import ListKind, SwitchState
 from .net.connection import log
 from .net.http import HttpStream, connect
@@ -173,14 +173,18 @@
     """Hubs are the instances that the catalogue lists; their states are what their health says."""
 
     def __init__(
-        self, config: ConsulConfig, clock: TurnReactor, place: UnixPlace, told: Callable[[m.HubsListed], None]
+        self,
+        config: ConsulConfig,
+        clock: TurnReactor,
+        place: UnixPlace,
+        told: Callable[[messages.HubsListed], None],
     ) -> None:
         name = quote(config.service, safe="")
         self.place = place
         self.told = told
-        self.catalogue: dict[str, m.Hub] | None = None
+        self.catalogue: dict[str, messages.Hub] | None = None
         self.states: dict[str, SwitchState] | None = None
-        self.listed: tuple[m.Hub, ...] | None = None
+        self.listed: tuple[messages.Hub, ...] | None = None
         self.watches = (
             Watch(config, clock, f"/v1/catalog/service/{name}", self.on_catalogue),
             Watch(config, clock, f"/v1/health/service/{name}", self.on_health),
@@ -207,7 +211,7 @@
         self.catalogue = hubs
         self.join()
 
-    def hub_of(self, item: dict) -> m.Hub:
+    def hub_of(self, item: dict) -> messages.Hub:
         meta = item.get("ServiceMeta") or {}
         host, port = item.get("ServiceAddress") or item["Address"], int(item["ServicePort"])
         if not 0 < port < 65536:
@@ -217,7 +221,9 @@
             raise ValueError(f"transport {transport!r}")
         address = f"{host}:{port}" + (";tcp" if transport == "tcp" else "")
         started_at = self.place.monotonic_us(float(meta.get("started_ms", 0)))
-        return m.Hub(str(item["ServiceID"]), int(meta["number"]), SwitchState.READY, address, started_at)
+        return messages.Hub(
+            str(item["ServiceID"]), int(meta["number"]), SwitchState.READY, address, started_at
+        )
 
     def on_health(self, answer: list) -> None:
         states = {}
@@ -245,10 +251,10 @@
         if self.catalogue is None or self.states is None:
             return
         hubs = tuple(
-            m.Hub(hub.name, hub.number, self.states[name], hub.address, hub.started_at)
+            messages.Hub(hub.name, hub.number, self.states[name], hub.address, hub.started_at)
             for name, hub in sorted(self.catalogue.items())
             if self.states.get(name, SwitchState.GONE) is not SwitchState.GONE
         )
         if hubs != self.listed:
             self.listed = hubs
-            self.told(m.HubsListed(ListKind.COMPLETE, hubs))
+            self.told(messages.HubsListed(ListKind.COMPLETE, hubs))
--- a/chutefork/core/messages.py
+++ b/chutefork/core/messages.py
@@ -11,15 +11,15 @@
 from ..interface import ListKind, Outcome, Reason, SwitchState
 
 
-class Why(Enum):
+class FailureCause(Enum):
     """Why a call ended with no answer, for the front to put into its own wire's words."""
 
-    BUSY = "the controller gave it up: trying again is harmless"
+    UNAVAILABLE = "the controller gave it up: trying again is harmless"
     LINES_BUSY = "all lines of the number are busy"
     NO_ANSWER = "no hub answered in time"
-    DEADLINE = "the caller's time was over before anything was tried"
+    DEADLINE_EXPIRED = "the caller's time was over before anything was tried"
     UNKNOWN_DESTINATION = "no hub serves that number"
-    FAULT = "a fault on the way"
+    NETWORK_ERROR = "a fault on the way"
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,8 +38,8 @@
 class Arrival:
     call: int
     class_index: int
-    width: float
-    left_us: int
+    width_circuits: float
+    time_left_us: int
     tenant: int
     number_called: int
     destination: int
@@ -57,14 +57,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stands:
+class CallEstablished:
     call: int
     hub: str
     description: str
 
 
 @dataclass(frozen=True, slots=True)
-class Stray:
+class UnmatchedAnswer:
     """An answer to no set-up that is open at the hub: late, a second copy, or never asked for."""
 
     call: int
@@ -72,12 +72,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class AttemptEnded:
     call: int
     hub: str
     outcome: Outcome
     reason: Reason = Reason.NONE
-    told_wait_us: int | None = None
+    retry_after_us: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,30 +87,41 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GroupTold:
+class GroupStateReported:
     hub: str
-    free: float
-    size: float
+    free_circuits: float
+    group_circuits: float
 
 
 @dataclass(frozen=True, slots=True)
-class HubLost:
+class HubDown:
     """Proof that the hub's process is gone: what stood there is cut."""
 
     hub: str
 
 
 @dataclass(frozen=True, slots=True)
-class Due:
+class WakeUpDue:
     """The time asked for with `WakeAt` has come."""
 
 
 @dataclass(frozen=True, slots=True)
-class Leave:
+class Shutdown:
     """The program is about to end: whatever is still owed an answer gets it now."""
 
 
-Event = Arrival | Withdrawn | Stands | Stray | Ended | HubsListed | GroupTold | HubLost | Due | Leave
+Event = (
+    Arrival
+    | Withdrawn
+    | CallEstablished
+    | UnmatchedAnswer
+    | AttemptEnded
+    | HubsListed
+    | GroupStateReported
+    | HubDown
+    | WakeUpDue
+    | Shutdown
+)
 
 # ---- effects
 
@@ -119,7 +130,7 @@
 class SetUp:
     call: int
     hub: str
-    wait_us: int
+    timeout_us: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -139,18 +150,18 @@
 @dataclass(frozen=True, slots=True)
 class Refuse:
     call: int
-    wait_us: int  # 0: no indication
-    why: Why
+    retry_after_us: int  # 0: no indication
+    cause: FailureCause
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
     call: int
-    why: Why
+    cause: FailureCause
 
 
 @dataclass(frozen=True, slots=True)
-class Over:
+class CallEnded:
     """A call that stood has ended: `cut` if not by its own end."""
 
     call: int
@@ -158,12 +169,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reach:
+class UpdateHubConnection:
     """Keep a connection to the hub (`wanted`), or let go of it; queued sends to a hub let go are dropped."""
 
     hub: Hub
-    wanted: bool
-    sends: bool
+    keep_connection: bool
+    accepts_setups: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -172,8 +183,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class LogMessage:
     text: str
 
 
-Effect = SetUp | Release | Answer | Refuse | Fail | Over | Reach | WakeAt | Note
+Effect = SetUp | Release | Answer | Refuse | Fail | CallEnded | UpdateHubConnection | WakeAt | LogMessage
--- a/chutefork/core/reducer.py
+++ b/chutefork/core/reducer.py
@@ -1,7 +1,8 @@
 """The one place where state changes: (state, event, now) gives the effects to carry out.
 
-The decisions are the module's (`rules.CallController`); what is guarded here holds whatever it asks for: one
-final answer a call, one attempt out, the release wait, nothing fresh to a hub that drains, the attempt cap.
+The decisions are those of `call_controller.CallController`; what is guarded here holds whatever it asks
+for: one final answer a call, one attempt out, the release wait, nothing fresh to a hub that drains, the
+attempt cap.
 """
 
 from __future__ import annotations
@@ -10,8 +11,8 @@
 from dataclasses import dataclass, field
 
 from .. import interface as api
-from ..rules import CallController
-from . import messages as m
+from ..call_controller import CallController
+from . import messages
 
 SECOND = 1_000_000
 ANSWER_MARGIN_US = 60_000  # before the caller stops waiting: the way here and back, and a busy loop
@@ -23,7 +24,7 @@
 class Call:
     """A call that is owed its final answer."""
 
-    arrival: m.Arrival
+    arrival: messages.Arrival
     answer_by: int
     attempts: int = 0
     hub: str | None = None  # where its one attempt is out
@@ -35,7 +36,7 @@
 
 @dataclass(slots=True)
 class HubEntry:
-    hub: m.Hub
+    hub: messages.Hub
     switch: int
     standing: set[int] = field(default_factory=set)
 
@@ -60,8 +61,8 @@
         return cls(settings, CallController(settings))
 
 
-def reduce(state: State, event: m.Event, now: int) -> list[m.Effect]:
-    effects: list[m.Effect] = []
+def reduce(state: State, event: messages.Event, now: int) -> list[messages.Effect]:
+    effects: list[messages.Effect] = []
     _HANDLERS[type(event)](state, event, now, effects)
     while state.finished:
         call = next(iter(state.finished))
@@ -70,7 +71,7 @@
         del state.finished[call]
     if state.timers and state.timers[0][0] != state.wake_at:
         state.wake_at = state.timers[0][0]
-        effects.append(m.WakeAt(state.wake_at))
+        effects.append(messages.WakeAt(state.wake_at))
     return effects
 
 
@@ -79,7 +80,7 @@
     heapq.heappush(state.timers, (at, state.sequence, kind, key, serial))
 
 
-def _decide(state: State, event: api.Event, now: int, effects: list[m.Effect]) -> None:
+def _decide(state: State, event: api.Event, now: int, effects: list[messages.Effect]) -> None:
     for action in state.controller.handle(now / SECOND, event):
         if isinstance(action, api.SetUp):
             _set_up(state, action, now, effects)
@@ -88,13 +89,13 @@
         elif isinstance(action, api.Fail):
             _finish(state, action.call, now, effects, refused=False)
         elif isinstance(action, api.SetTimer):
-            _timer(state, now + round(action.in_s * SECOND), "token", action.token)
-        elif isinstance(action, api.Note):
-            effects.append(m.Note(action.text))
+            _timer(state, now + round(action.delay_s * SECOND), "token", action.token)
+        elif isinstance(action, api.LogMessage):
+            effects.append(messages.LogMessage(action.text))
         # Probe, Tell and Subscribe: this deployment allows none of them, its list comes by itself
 
 
-def _set_up(state: State, action: api.SetUp, now: int, effects: list[m.Effect]) -> None:
+def _set_up(state: State, action: api.SetUp, now: int, effects: list[messages.Effect]) -> None:
     call = state.calls.get(action.call)
     name = state.names.get(action.switch)
     entry = state.hubs.get(name) if name is not None else None
@@ -116,11 +117,11 @@
     call.attempts += 1
     call.hub, call.sent_at, call.held = name, now, None
     _timer(state, now + wait_us, "attempt", action.call, call.attempts)
-    effects.append(m.SetUp(action.call, name, wait_us))
+    effects.append(messages.SetUp(action.call, name, wait_us))
 
 
 def _finish(
-    state: State, call_id: int, now: int, effects: list[m.Effect], refused: bool, wait_s: float = 0.0
+    state: State, call_id: int, now: int, effects: list[messages.Effect], refused: bool, wait_s: float = 0.0
 ) -> None:
     """The one final answer of a call that does not stand."""
     call = state.calls.pop(call_id, None)
@@ -128,24 +129,24 @@
         return
     state.finished[call_id] = now
     if call.hub is not None:
-        effects.append(m.Release(call_id, call.hub))
+        effects.append(messages.Release(call_id, call.hub))
     outcome, reason = call.last or (api.Outcome.NOT_SENT, api.Reason.NONE)
-    why = m.Why.BUSY
+    why = messages.FailureCause.UNAVAILABLE
     if call.last is None and now >= call.answer_by:
-        why = m.Why.DEADLINE
+        why = messages.FailureCause.DEADLINE_EXPIRED
     elif reason is api.Reason.LINES_BUSY:
-        why = m.Why.LINES_BUSY
+        why = messages.FailureCause.LINES_BUSY
     elif outcome is api.Outcome.TIMEOUT:
-        why = m.Why.NO_ANSWER
+        why = messages.FailureCause.NO_ANSWER
     elif outcome in (api.Outcome.ERROR, api.Outcome.CUT):
-        why = m.Why.FAULT
+        why = messages.FailureCause.NETWORK_ERROR
     elif not any(entry.hub.number == call.arrival.destination for entry in state.hubs.values()):
-        why = m.Why.UNKNOWN_DESTINATION
+        why = messages.FailureCause.UNKNOWN_DESTINATION
     if refused:
         cap_us = round(state.settings.max_hold_off_s * SECOND)
-        effects.append(m.Refuse(call_id, min(round(wait_s * SECOND), cap_us), why))
+        effects.append(messages.Refuse(call_id, min(round(wait_s * SECOND), cap_us), why))
     else:
-        effects.append(m.Fail(call_id, why))
+        effects.append(messages.Fail(call_id, why))
 
 
 def _end_attempt(
@@ -157,7 +158,7 @@
     reason: api.Reason,
     told_wait_us: int | None,
     now: int,
-    effects: list[m.Effect],
+    effects: list[messages.Effect],
 ) -> None:
     elapsed_s = (now - call.sent_at) / SECOND if call.hub is not None else 0.0
     call.hub = None
@@ -175,15 +176,17 @@
     )
 
 
-def _on_arrival(state: State, event: m.Arrival, now: int, effects: list[m.Effect]) -> None:
+def _on_arrival(state: State, event: messages.Arrival, now: int, effects: list[messages.Effect]) -> None:
     if event.call in state.calls or event.call in state.standing:
-        effects.append(m.Note(f"call {event.call:016x}: set up twice, the second is passed over"))
+        effects.append(
+            messages.LogMessage(f"call {event.call:016x}: set up twice, the second is passed over")
+        )
         return
     if event.call in state.finished:
         # guards against late answers to the first of that id, taken for answers to this one
-        effects.append(m.Refuse(event.call, 0, m.Why.BUSY))
+        effects.append(messages.Refuse(event.call, 0, messages.FailureCause.UNAVAILABLE))
         return
-    left_us = max(event.left_us - ANSWER_MARGIN_US, 0)
+    left_us = max(event.time_left_us - ANSWER_MARGIN_US, 0)
     state.calls[event.call] = Call(event, now + left_us)
     _timer(state, now + left_us, "answer", event.call)
     _decide(
@@ -191,7 +194,7 @@
         api.Arrival(
             event.call,
             event.class_index,
-            event.width,
+            event.width_circuits,
             left_us / SECOND,
             event.tenant,
             event.number_called,
@@ -206,18 +209,18 @@
     )
 
 
-def _on_withdrawn(state: State, event: m.Withdrawn, now: int, effects: list[m.Effect]) -> None:
+def _on_withdrawn(state: State, event: messages.Withdrawn, now: int, effects: list[messages.Effect]) -> None:
     call = state.calls.pop(event.call, None)
     if call is not None:
         state.finished[event.call] = now
         if call.hub is not None:
-            effects.append(m.Release(event.call, call.hub))
+            effects.append(messages.Release(event.call, call.hub))
         _decide(state, api.Withdrawn(event.call), now, effects)
         return
     hub = state.standing.get(event.call)
     if hub is not None:
         _unstand(state, event.call, hub, now)
-        effects.append(m.Release(event.call, hub))
+        effects.append(messages.Release(event.call, hub))
         _decide(
             state,
             api.AttemptEnded(
@@ -236,33 +239,39 @@
         entry.standing.discard(call)
 
 
-def _on_stands(state: State, event: m.Stands, now: int, effects: list[m.Effect]) -> None:
+def _on_stands(
+    state: State, event: messages.CallEstablished, now: int, effects: list[messages.Effect]
+) -> None:
     call = state.calls.get(event.call)
     if call is None or call.hub != event.hub:
-        _on_stray(state, m.Stray(event.call, event.hub), now, effects)
+        _on_stray(state, messages.UnmatchedAnswer(event.call, event.hub), now, effects)
         return
     del state.calls[event.call]
     state.standing[event.call] = event.hub
     state.hubs[event.hub].standing.add(event.call)
-    effects.append(m.Answer(event.call, event.description))
+    effects.append(messages.Answer(event.call, event.description))
     _decide(
         state,
-        api.Stands(event.call, call.attempts - 1, state.switches[event.hub], (now - call.sent_at) / SECOND),
+        api.CallEstablished(
+            event.call, call.attempts - 1, state.switches[event.hub], (now - call.sent_at) / SECOND
+        ),
         now,
         effects,
     )
 
 
-def _on_stray(state: State, event: m.Stray, now: int, effects: list[m.Effect]) -> None:
+def _on_stray(
+    state: State, event: messages.UnmatchedAnswer, now: int, effects: list[messages.Effect]
+) -> None:
     call = state.calls.get(event.call)
     if call is not None and call.hub == event.hub or state.standing.get(event.call) == event.hub:
         return  # a second copy, or the call is on its way there anew: a release would end that
     if call is not None or event.call in state.finished or event.call in state.standing:
         # guards against an answer that crossed our giving up: left alone, that call would stand unowned
-        effects.append(m.Release(event.call, event.hub))
+        effects.append(messages.Release(event.call, event.hub))
 
 
-def _on_ended(state: State, event: m.Ended, now: int, effects: list[m.Effect]) -> None:
+def _on_ended(state: State, event: messages.AttemptEnded, now: int, effects: list[messages.Effect]) -> None:
     call = state.calls.get(event.call)
     if call is not None:
         if call.hub == event.hub:
@@ -273,14 +282,14 @@
                 state.switches[event.hub],
                 event.outcome,
                 event.reason,
-                event.told_wait_us,
+                event.retry_after_us,
                 now,
                 effects,
             )
         return
     if state.standing.get(event.call) == event.hub:
         _unstand(state, event.call, event.hub, now)
-        effects.append(m.Over(event.call, event.outcome is not api.Outcome.OK))
+        effects.append(messages.CallEnded(event.call, event.outcome is not api.Outcome.OK))
         _decide(
             state,
             api.AttemptEnded(
@@ -292,10 +301,10 @@
     elif event.call not in state.finished and event.call not in state.standing:
         # A call that stood before this program's restart is over: only its caller still knows of it.
         state.finished[event.call] = now
-        effects.append(m.Over(event.call, event.outcome is not api.Outcome.OK))
+        effects.append(messages.CallEnded(event.call, event.outcome is not api.Outcome.OK))
 
 
-def _on_hubs(state: State, event: m.HubsListed, now: int, effects: list[m.Effect]) -> None:
+def _on_hubs(state: State, event: messages.HubsListed, now: int, effects: list[messages.Effect]) -> None:
     named = set()
     for hub in event.hubs:
         named.add(hub.name)
@@ -314,7 +323,9 @@
         for name, entry in state.hubs.items():
             if name not in named:
                 old = entry.hub
-                entry.hub = m.Hub(old.name, old.number, api.SwitchState.GONE, old.address, old.started_at)
+                entry.hub = messages.Hub(
+                    old.name, old.number, api.SwitchState.GONE, old.address, old.started_at
+                )
     entries = tuple(
         api.Entry(state.switches[hub.name], hub.number, hub.state, hub.started_at / SECOND)
         for hub in event.hubs
@@ -325,7 +336,9 @@
             _cut_all(state, entry, now, effects)
         if entry.hub.number != state.settings.own_number:
             ready = entry.hub.state is api.SwitchState.READY
-            effects.append(m.Reach(entry.hub, entry.hub.state is not api.SwitchState.GONE, ready))
+            effects.append(
+                messages.UpdateHubConnection(entry.hub, entry.hub.state is not api.SwitchState.GONE, ready)
+            )
         if entry.hub.state is api.SwitchState.GONE:
             for call_id, call in list(state.calls.items()):
                 if call.hub == name:
@@ -344,27 +357,29 @@
             del state.hubs[name], state.switches[name], state.names[entry.switch]
 
 
-def _cut_all(state: State, entry: HubEntry, now: int, effects: list[m.Effect]) -> None:
+def _cut_all(state: State, entry: HubEntry, now: int, effects: list[messages.Effect]) -> None:
     for call in sorted(entry.standing):
-        _on_ended(state, m.Ended(call, entry.hub.name, api.Outcome.CUT), now, effects)
+        _on_ended(state, messages.AttemptEnded(call, entry.hub.name, api.Outcome.CUT), now, effects)
 
 
-def _on_group(state: State, event: m.GroupTold, now: int, effects: list[m.Effect]) -> None:
+def _on_group(
+    state: State, event: messages.GroupStateReported, now: int, effects: list[messages.Effect]
+) -> None:
     switch = state.switches.get(event.hub)
     if switch is not None:
-        load = api.Load(free_circuits=event.free, group_circuits=event.size)
-        _decide(state, api.Report(switch, True, 0.0, False, load), now, effects)
+        load = api.Load(free_circuits=event.free_circuits, group_circuits=event.group_circuits)
+        _decide(state, api.LoadReport(switch, True, 0.0, False, load), now, effects)
 
 
-def _on_lost(state: State, event: m.HubLost, now: int, effects: list[m.Effect]) -> None:
+def _on_lost(state: State, event: messages.HubDown, now: int, effects: list[messages.Effect]) -> None:
     entry = state.hubs.get(event.hub)
     if entry is not None:
         # released there too: were it a full listener and no dead process, the calls would stand unowned
-        effects.extend(m.Release(call, event.hub) for call in sorted(entry.standing))
+        effects.extend(messages.Release(call, event.hub) for call in sorted(entry.standing))
         _cut_all(state, entry, now, effects)
 
 
-def _on_due(state: State, event: m.Due, now: int, effects: list[m.Effect]) -> None:
+def _on_due(state: State, event: messages.WakeUpDue, now: int, effects: list[messages.Effect]) -> None:
     state.wake_at = 0
     while state.timers and state.timers[0][0] <= now:
         _, _, kind, key, serial = heapq.heappop(state.timers)
@@ -379,7 +394,7 @@
             _set_up(state, action, now, effects)
         elif kind == "attempt" and call.hub is not None and call.attempts == serial:
             hub = call.hub
-            effects.append(m.Release(key, hub))
+            effects.append(messages.Release(key, hub))
             _end_attempt(
                 state,
                 key,
@@ -397,21 +412,21 @@
             _decide(state, api.Withdrawn(key), now, effects)
 
 
-def _on_leave(state: State, event: m.Leave, now: int, effects: list[m.Effect]) -> None:
+def _on_leave(state: State, event: messages.Shutdown, now: int, effects: list[messages.Effect]) -> None:
     for call in list(state.calls):
         _finish(state, call, now, effects, refused=True, wait_s=state.settings.max_hold_off_s)
         _decide(state, api.Withdrawn(call), now, effects)
 
 
 _HANDLERS = {
-    m.Arrival: _on_arrival,
-    m.Withdrawn: _on_withdrawn,
-    m.Stands: _on_stands,
-    m.Stray: _on_stray,
-    m.Ended: _on_ended,
-    m.HubsListed: _on_hubs,
-    m.GroupTold: _on_group,
-    m.HubLost: _on_lost,
-    m.Due: _on_due,
-    m.Leave: _on_leave,
+    messages.Arrival: _on_arrival,
+    messages.Withdrawn: _on_withdrawn,
+    messages.CallEstablished: _on_stands,
+    messages.UnmatchedAnswer: _on_stray,
+    messages.AttemptEnded: _on_ended,
+    messages.HubsListed: _on_hubs,
+    messages.GroupStateReported: _on_group,
+    messages.HubDown: _on_lost,
+    messages.WakeUpDue: _on_due,
+    messages.Shutdown: _on_leave,
 }
--- a/chutefork/interface.py
+++ b/chutefork/interface.py
@@ -14,9 +14,9 @@
 
     OK = "the call has ended"
     ERROR = "all lines of the number busy, or a signalling fault"
-    NOT_SET_UP = "turned back, or a processor or pool was full"
+    REJECTED = "turned back, or a processor or pool was full"
     TIMEOUT = "no answer in time"
-    NOT_REACHED = "no connection to the switch"
+    UNREACHABLE = "no connection to the switch"
     CUT = "the set-up or the standing call was cut"
     CANCELLED = "called off"
     NOT_SENT = "never left the own exchange"
@@ -27,8 +27,8 @@
 
     NONE = "none given"
     NO_CIRCUIT = "no circuit or agent free"
-    TURNED_BACK = "the tandem turned it back"
-    BEYOND_FULL = "the tandem turned it back: the destination's processor was full"
+    REJECTED_BY_TANDEM = "the tandem turned it back"
+    DESTINATION_PROCESSOR_FULL = "the tandem turned it back: the destination's processor was full"
     PROCESSOR_FULL = "processor full"
     LINES_BUSY = "every line of the number is busy"
     DECLINED = "the switch wants no further try of this call"
@@ -185,7 +185,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stands:
+class CallEstablished:
     call: int
     attempt: int
     switch: int
@@ -201,7 +201,7 @@
     elapsed_s: float
     call_over: bool
     reason: Reason
-    told_wait_s: float | None
+    retry_after_s: float | None
     load: Load | None
 
 
@@ -211,11 +211,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
+class LoadReport:
     switch: int
     answered: bool
     elapsed_s: float
-    asked: bool
+    solicited: bool
     load: Load | None
 
 
@@ -250,7 +250,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    in_s: float
+    delay_s: float
     token: int
 
 
@@ -265,15 +265,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendPeerMessage:
     peer: int | None  # None: every other call controller
     payload: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class LogMessage:
     text: str  # one line for the operators' log
 
 
-Event = SwitchList | Arrival | Stands | AttemptEnded | Withdrawn | Report | TimerDue | PeerMessage
-Action = SetUp | Refuse | Fail | SetTimer | Subscribe | Probe | Tell | Note
+Event = (
+    SwitchList | Arrival | CallEstablished | AttemptEnded | Withdrawn | LoadReport | TimerDue | PeerMessage
+)
+Action = SetUp | Refuse | Fail | SetTimer | Subscribe | Probe | SendPeerMessage | LogMessage
--- a/chutefork/net/exchanges.py
+++ b/chutefork/net/exchanges.py
@@ -11,7 +11,7 @@
 from twisted.internet.protocol import ClientFactory
 from twisted.protocols.basic import Int16StringReceiver
 
-from ..core import messages as m
+from ..core import messages
 from ..interface import Outcome, Reason
 from .connection import LONGEST, UNPRINTED, Connection, log
 
@@ -26,7 +26,7 @@
 GIVEN_UP = 16
 
 OUTCOMES = {
-    34: Outcome.NOT_SET_UP,
+    34: Outcome.REJECTED,
     17: Outcome.ERROR,
     47: Outcome.ERROR,
     102: Outcome.NOT_SENT,
@@ -35,8 +35,8 @@
 }
 REASONS = {
     "atb": Reason.NO_CIRCUIT,
-    "rtb": Reason.TURNED_BACK,
-    "racc": Reason.BEYOND_FULL,
+    "rtb": Reason.REJECTED_BY_TANDEM,
+    "racc": Reason.DESTINATION_PROCESSOR_FULL,
     "acc": Reason.PROCESSOR_FULL,
     "sub": Reason.LINES_BUSY,
 }
@@ -149,7 +149,7 @@
 class ExchangeLink:
     """One exchange: its connection, the set-ups out there, and what waits to be sent."""
 
-    def __init__(self, legs: ExchangeLegs, hub: m.Hub) -> None:
+    def __init__(self, legs: ExchangeLegs, hub: messages.Hub) -> None:
         self.legs = legs
         self.clock = legs.clock
         self.hub = hub
@@ -159,7 +159,8 @@
         self.connecting = False
         self.tries = 0
         self.retry = None
-        self.queue: dict[int, tuple[m.SetUp, int]] = {}  # waiting for the connection: call -> set-up, since
+        # waiting for the connection: call -> set-up, since
+        self.queue: dict[int, tuple[messages.SetUp, int]] = {}
         self.releases: list[bytes] = []
         self.heard_at = self.clock.now_us()
         self.silences = 0  # connections in a row that were mute: the exchange itself may be
@@ -207,12 +208,12 @@
             gap_us = RETRY_US[min(self.tries, len(RETRY_US)) - 1]
             self.retry = self.clock.callLater(gap_us / 1e6, self.connect)
         for call in waiting:
-            self.legs.driver.tell(m.Ended(call, self.hub.name, Outcome.NOT_REACHED))
+            self.legs.driver.tell(messages.AttemptEnded(call, self.hub.name, Outcome.UNREACHABLE))
         gone = refused or self.clock.now_us() - self.heard_at > GONE_US
         if refused:
             self.releases.clear()  # nothing stands at a process that is not there
         if gone:  # a machine that sends nothing cannot tell of the ends of its calls: their callers are told
-            self.legs.driver.tell(m.HubLost(self.hub.name))
+            self.legs.driver.tell(messages.HubDown(self.hub.name))
 
     def lost(self, connection: ExchangeProtocol) -> None:
         if self.connection is connection:
@@ -225,7 +226,7 @@
         for call in ended:
             # guards against a call that stands there all the same, its answer spoilt or lost on the way
             self.release_later(release_of(call))
-            self.legs.driver.tell(m.Ended(call, self.hub.name, outcome))
+            self.legs.driver.tell(messages.AttemptEnded(call, self.hub.name, outcome))
 
     def watch(self, now: int) -> None:
         """Guards against a connection that stays open and is of no use any more: an answer broke off there,
@@ -261,7 +262,7 @@
             self.connection = None
             old.end("renewed")
 
-    def set_up(self, effect: m.SetUp) -> None:
+    def set_up(self, effect: messages.SetUp) -> None:
         self.queue[effect.call] = effect, self.clock.now_us()
         if self.connection is not None:
             self.renew()
@@ -273,8 +274,8 @@
             self.retry = None
         self.connect()
 
-    def send(self, effect: m.SetUp, since: int) -> None:
-        left_us = effect.wait_us - (self.clock.now_us() - since)
+    def send(self, effect: messages.SetUp, since: int) -> None:
+        left_us = effect.timeout_us - (self.clock.now_us() - since)
         name, key, body = self.legs.front.bodies.get(effect.call, ("", "", ""))
         data = frame_of(
             SETUP,
@@ -287,11 +288,11 @@
             ],
         )
         if self.connection is None or not self.connection.push(data):
-            self.legs.driver.later(m.Ended(effect.call, self.hub.name, Outcome.NOT_SENT))
+            self.legs.driver.later(messages.AttemptEnded(effect.call, self.hub.name, Outcome.NOT_SENT))
             return
         self.connection.wrote_at = self.connection.open[effect.call] = self.clock.now_us()
 
-    def release(self, effect: m.Release) -> None:
+    def release(self, effect: messages.Release) -> None:
         if self.queue.pop(effect.call, None) is not None:
             return
         data = release_of(effect.call)
@@ -324,13 +325,13 @@
             if call not in self.connection.open:
                 # guards the link, and all that is open on it, against extra answers beside the good ones: a
                 # second copy, a late one, one under an id that nobody asked for; whatever it holds is dropped
-                tell(m.Stray(call, name))
+                tell(messages.UnmatchedAnswer(call, name))
                 return
             description = parameters.get(DESCRIPTION, b"").decode("utf-8")
             if not description or UNPRINTED.search(description):  # guards callers against a spoilt answer
                 raise ValueError("an answer whose description is no text")
             self.settled(call, stands=True)
-            tell(m.Stands(call, name, description))
+            tell(messages.CallEstablished(call, name, description))
         elif kind == RELEASE:
             cause = parameters.get(CAUSE, b"")
             if len(cause) != 1:
@@ -339,7 +340,7 @@
             wait_us = int(float(wait) * 1000) if wait else None
             self.settled(call)
             tell(
-                m.Ended(
+                messages.AttemptEnded(
                     call, name, OUTCOMES.get(cause[0], Outcome.ERROR), REASONS.get(note, Reason.NONE), wait_us
                 )
             )
@@ -350,7 +351,7 @@
                 free, size = float(figures["idle"]), float(figures["circuits"])
                 if not (math.isfinite(free) and 0 <= size < math.inf):
                     raise ValueError(f"state of a group {text[:40]!r}")
-                tell(m.GroupTold(name, free, size))
+                tell(messages.GroupStateReported(name, free, size))
         elif kind not in HARMLESS:
             # guards against a spoilt frame taken for a novelty: nothing more came on such connections
             raise ValueError(f"a message of type {kind}")
@@ -388,22 +389,22 @@
             self.all_tried()
             self.all_tried = None
 
-    def reach(self, effect: m.Reach) -> None:
+    def reach(self, effect: messages.UpdateHubConnection) -> None:
         link = self.links.get(effect.hub.name)
         if link is None:
-            if not effect.wanted:
+            if not effect.keep_connection:
                 return
             link = self.links[effect.hub.name] = ExchangeLink(self, effect.hub)
         moved = link.hub.address != effect.hub.address
-        link.hub, link.wanted, link.sends = effect.hub, effect.wanted, effect.sends
+        link.hub, link.wanted, link.sends = effect.hub, effect.keep_connection, effect.accepts_setups
         if moved and link.connection is not None:
             link.connection.end("moved")
             link.connection = None
-        if not effect.sends:
+        if not effect.accepts_setups:
             waiting, link.queue = link.queue, {}
             for call in waiting:  # guards the drain: what waits for a connection would go out late
-                self.driver.later(m.Ended(call, link.hub.name, Outcome.NOT_SENT))
-        if effect.wanted:
+                self.driver.later(messages.AttemptEnded(call, link.hub.name, Outcome.NOT_SENT))
+        if effect.keep_connection:
             if link.retry is None:
                 link.connect()
             return
@@ -416,14 +417,14 @@
             link.let_go("leaving")
         self.links.clear()
 
-    def set_up(self, effect: m.SetUp) -> None:
+    def set_up(self, effect: messages.SetUp) -> None:
         link = self.links.get(effect.hub)
         if link is None or not link.sends:
-            self.driver.later(m.Ended(effect.call, effect.hub, Outcome.NOT_SENT))
+            self.driver.later(messages.AttemptEnded(effect.call, effect.hub, Outcome.NOT_SENT))
         else:
             link.set_up(effect)
 
-    def release(self, effect: m.Release) -> None:
+    def release(self, effect: messages.Release) -> None:
         link = self.links.get(effect.hub)
         if link is not None:
             link.release(effect)
--- a/chutefork/wirehost.py
+++ b/chutefork/simulator_adapter.py
@@ -1,6 +1,7 @@
 """Carries the simulator's wire to call controllers and their actions back: framing and translation only.
 
-Run as `python -m chutefork.wirehost`; one `CallController` per instance, nothing shared between them.
+Run as `python -m chutefork.simulator_adapter`; one `CallController` per instance, nothing shared between
+them.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 from typing import BinaryIO
 
 from . import interface as api
-from .rules import CallController
+from .call_controller import CallController
 
 HEADER = struct.Struct("<IdII")
 REPLY = struct.Struct("<II")
@@ -40,9 +41,9 @@
 OUTCOMES = {
     0: api.Outcome.ERROR,
     1: api.Outcome.OK,
-    2: api.Outcome.NOT_SET_UP,
+    2: api.Outcome.REJECTED,
     3: api.Outcome.TIMEOUT,
-    4: api.Outcome.NOT_REACHED,
+    4: api.Outcome.UNREACHABLE,
     5: api.Outcome.CUT,
     6: api.Outcome.CANCELLED,
     7: api.Outcome.NOT_SENT,
@@ -50,7 +51,7 @@
 REASONS = {
     0: api.Reason.NONE,
     1: api.Reason.NO_CIRCUIT,
-    2: api.Reason.TURNED_BACK,
+    2: api.Reason.REJECTED_BY_TANDEM,
     3: api.Reason.PROCESSOR_FULL,
     4: api.Reason.LINES_BUSY,
 }
@@ -253,13 +254,13 @@
         elif code == 17:
             _, call, attempt, switch, rtt = FLOWING.unpack_from(body, at)
             at += FLOWING.size
-            event = api.Stands(call, attempt, switch, rtt)
+            event = api.CallEstablished(call, attempt, switch, rtt)
         elif code == 19:
             _, switch, result, rtt, n = ECHO.unpack_from(body, at)
             at += ECHO.size
             values = struct.unpack_from(f"<{n}f", body, at)
             at += 4 * n
-            event = api.Report(
+            event = api.LoadReport(
                 switch,
                 result == 1,
                 rtt,
@@ -321,8 +322,8 @@
     """The low four bits name the reason; what lies above them is a wait, or for 18 the processor beyond."""
     low, high = why & 15, why >> 4
     reason = known(REASONS, low, "reason")
-    if reason is api.Reason.TURNED_BACK and high:
-        return api.Reason.BEYOND_FULL, None
+    if reason is api.Reason.REJECTED_BY_TANDEM and high:
+        return api.Reason.DESTINATION_PROCESSOR_FULL, None
     return reason, high / 1000 if reason is api.Reason.PROCESSOR_FULL and high else None
 
 
@@ -343,12 +344,12 @@
     if isinstance(action, api.Fail):
         return FAIL.pack(90, inst, action.call)
     if isinstance(action, api.SetTimer):
-        return REMIND.pack(84, inst, action.in_s, action.token)
-    if isinstance(action, api.Note):
+        return REMIND.pack(84, inst, action.delay_s, action.token)
+    if isinstance(action, api.LogMessage):
         return text_record(81, inst, action.text)
     if isinstance(action, api.Probe):
         return INSPECT.pack(91, inst, action.switch)
-    if isinstance(action, api.Tell):
+    if isinstance(action, api.SendPeerMessage):
         peer = EVERY_PEER if action.peer is None else action.peer
         return TELL.pack(86, inst, peer, len(action.payload)) + action.payload
     if isinstance(action, api.Subscribe):
@@ -381,7 +382,7 @@
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as fault:
-        print(f"chutefork.wirehost: {fault}", file=sys.stderr)
+        print(f"chutefork.simulator_adapter: {fault}", file=sys.stderr)
         return 1
     return 0
 
--- a/chutefork/sip/legs.py
+++ b/chutefork/sip/legs.py
@@ -6,7 +6,7 @@
 import re
 from typing import TYPE_CHECKING
 
-from ..core import messages as m
+from ..core import messages
 from ..interface import Outcome, Reason
 from . import message as sip
 from .agent import SipAgent
@@ -30,9 +30,9 @@
     if code in (486, 600):
         return Outcome.ERROR, Reason.LINES_BUSY, None
     if code == 503 and cause == NO_CIRCUIT:
-        return Outcome.NOT_SET_UP, Reason.TURNED_BACK if tandem else Reason.NO_CIRCUIT, None
+        return Outcome.REJECTED, Reason.REJECTED_BY_TANDEM if tandem else Reason.NO_CIRCUIT, None
     if code == 503:
-        return Outcome.NOT_SET_UP, Reason.PROCESSOR_FULL, retry_after_us
+        return Outcome.REJECTED, Reason.PROCESSOR_FULL, retry_after_us
     if code in (408, 504):
         return Outcome.TIMEOUT, Reason.NONE, None
     if 500 <= code < 600:
@@ -43,7 +43,7 @@
 class Leg:
     """One attempt. `current` while the core waits for its end or holds its call as standing."""
 
-    def __init__(self, legs: SipLegs, effect: m.SetUp, hub: m.Hub) -> None:
+    def __init__(self, legs: SipLegs, effect: messages.SetUp, hub: messages.Hub) -> None:
         self.legs = legs
         self.agent = legs.agent
         self.call = effect.call
@@ -77,7 +77,7 @@
         )
         request.headers.set("Contact", self.agent.contact(target.transport))
         request.headers.set("Allow", sip.ALLOW)
-        request.headers.set("Expires", str(max(math.ceil(effect.wait_us / 1e6), 1)))
+        request.headers.set("Expires", str(max(math.ceil(effect.timeout_us / 1e6), 1)))
         if self.tandem:
             request.headers.set(TRANSIT, str(legs.config.settings.own_number))
         sip.with_body(request, asked.body)
@@ -105,10 +105,10 @@
         if self.current:
             self.current = False
             self.legs.forget(self)
-            self.legs.driver.tell(m.Ended(self.call, self.hub, outcome, reason, wait_us))
+            self.legs.driver.tell(messages.AttemptEnded(self.call, self.hub, outcome, reason, wait_us))
 
     def failed(self, why: str) -> None:
-        self.finish(Outcome.TIMEOUT if why == "timeout" else Outcome.NOT_REACHED)
+        self.finish(Outcome.TIMEOUT if why == "timeout" else Outcome.UNREACHABLE)
 
     def heard(self, response: sip.Response) -> None:
         self.heard_any = True
@@ -146,7 +146,7 @@
             if not self.late_offer:
                 self.ack(dialog)
             body = response.body.decode("utf-8", "surrogateescape")
-            self.legs.driver.tell(m.Stands(self.call, self.hub, body))
+            self.legs.driver.tell(messages.CallEstablished(self.call, self.hub, body))
         else:  # crossed our giving up, or another branch of a fork: it must not stand
             self.ack(dialog)
             self.agent.bye(dialog)
@@ -198,22 +198,22 @@
         self.agent = agent
         self.config = config
         self.front: SipFront
-        self.hubs: dict[str, tuple[m.Hub, bool]] = {}
+        self.hubs: dict[str, tuple[messages.Hub, bool]] = {}
         self.by_call: dict[int, Leg] = {}
 
     def forget(self, leg: Leg) -> None:
         if self.by_call.get(leg.call) is leg:
             del self.by_call[leg.call]
 
-    def set_up(self, effect: m.SetUp) -> None:
+    def set_up(self, effect: messages.SetUp) -> None:
         hub, sends = self.hubs.get(effect.hub, (None, False))
         if hub is None or not sends or effect.call not in self.front.owed:
-            self.driver.later(m.Ended(effect.call, effect.hub, Outcome.NOT_SENT))
+            self.driver.later(messages.AttemptEnded(effect.call, effect.hub, Outcome.NOT_SENT))
             return
         leg = self.by_call[effect.call] = Leg(self, effect, hub)
         leg.begin()
 
-    def release(self, effect: m.Release) -> None:
+    def release(self, effect: messages.Release) -> None:
         leg = self.by_call.get(effect.call)
         if leg is not None and leg.hub == effect.hub:
             leg.give_up()
@@ -226,18 +226,18 @@
                 if tag not in leg.acks:
                     leg.ack(dialog, body)
 
-    def reach(self, effect: m.Reach) -> None:
+    def reach(self, effect: messages.UpdateHubConnection) -> None:
         name = effect.hub.name
-        self.hubs[name] = effect.hub, effect.sends
+        self.hubs[name] = effect.hub, effect.accepts_setups
         legs = [leg for leg in self.by_call.values() if leg.hub == name]
-        for leg in legs if not effect.sends else ():
+        for leg in legs if not effect.accepts_setups else ():
             if leg.invite is not None and not leg.heard_any:
                 if self.agent.transport.take_back(leg.invite.data, leg.target):
                     leg.invite.end()
                     leg.finish(Outcome.NOT_SENT)
                 else:
                     leg.invite.quieten()
-        if not effect.wanted:
+        if not effect.keep_connection:
             del self.hubs[name]
             for leg in legs:  # a late answer from there finds nobody waiting
                 leg.give_up()
--- a/chutefork/sip/node.py
+++ b/chutefork/sip/node.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from ..consul import ConsulMembership, Registration
-from ..core.messages import Leave
+from ..core.messages import Shutdown
 from ..core.reducer import State
 from ..net.clock import TurnReactor, UnixPlace
 from ..net.connection import log
@@ -63,7 +63,7 @@
             return
         standing = list(self.front.standing)
         log(f"left-sip unanswered={len(self.front.owed)} standing={len(standing)}")
-        self.driver.tell(Leave())
+        self.driver.tell(Shutdown())
         for call in standing:  # nobody would know of their dialogs any more: ended on both sides
             self.front.standing[call].hang_up()
         self.membership.stop()
--- a/tests/sipstand.py
+++ b/tests/sip_harness.py
@@ -12,7 +12,7 @@
 from tempfile import TemporaryDirectory
 from urllib.parse import parse_qs, urlsplit
 
-from .stand import PATIENCE_S, ROOT, Program, listener, until
+from .platform_harness import PATIENCE_S, ROOT, Program, listener, until
 
 SDP = b"v=0\r\no=- 1 1 IN IP4 127.0.0.1\r\ns=-\r\n"
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -8,7 +8,7 @@
 import unittest
 from pathlib import Path
 
-from .stand import SETTINGS, Channel, PlatformCase, listener, until, where
+from .platform_harness import SETTINGS, Channel, PlatformCase, listener, until, where
 
 A, B, C = "00000000000000a1", "00000000000000b2", "00000000000000c3"
 
@@ -674,7 +674,7 @@
             self.assertEqual(len(self.program.logged(f"end role={role}")), lines)
 
     def test_a_bad_configuration_ends_the_program_and_names_the_key(self):
-        from .stand import Program
+        from .platform_harness import Program
 
         wrong = json.loads(json.dumps(SETTINGS))
         del wrong["rules"]["cold_share"]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from .desk import CLASS, SETTINGS
+from .controller_harness import CLASS, SETTINGS
 
 
 @pytest.mark.parametrize(
--- a/tests/test_sip.py
+++ b/tests/test_sip.py
@@ -7,8 +7,8 @@
 import time
 import unittest
 
-from .sipstand import SDP, Agent, Consul, Peer, SipCase
-from .stand import PATIENCE_S, ROOT, PlatformCase, Program, until
+from .platform_harness import PATIENCE_S, ROOT, PlatformCase, Program, until
+from .sip_harness import SDP, Agent, Consul, Peer, SipCase
 
 ANSWER = b"v=0\r\no=- 2 2 IN IP4 127.0.0.1\r\ns=hub\r\n"
 
