--- a/chutefork/interface.py
+++ b/chutefork/interface.py
@@ -1,6 +1,11 @@
-"""What a call controller is told and what it may ask for: settings, events and actions.
+"""Settings, events and actions of a call controller.
 
-Times are seconds on the host's clock, lengths of time carry `_s`, rates `_per_s`; `None` is "not told".
+The host passes events to `CallController.handle` and carries out the actions that it returns. Names that end
+in `_at_s` are points in time, in seconds on the host's clock; other names in `_s` are durations in seconds,
+names in `_per_s` are rates per second. `None` means that the value was not reported.
+
+A *switch* is one process that serves an exchange (or a pool); its *number* is the exchange's (or the pool's),
+which a successor process takes over.
 """
 
 from __future__ import annotations
@@ -10,85 +15,96 @@
 
 
 class Outcome(Enum):
-    """How one attempt finished."""
+    """How one attempt, or the established call that it led to, ended."""
 
-    OK = "the call has ended"
-    ERROR = "all lines of the number busy, or a signalling fault"
-    REJECTED = "turned back, or a processor or pool was full"
+    OK = "the established call ended normally"
+    ERROR = "all lines of the number busy, or a signalling error"
+    REJECTED = "rejected by a tandem, or a processor or pool was full"
     TIMEOUT = "no answer in time"
     UNREACHABLE = "no connection to the switch"
-    CUT = "the set-up or the standing call was cut"
-    CANCELLED = "called off"
-    NOT_SENT = "never left the own exchange"
+    CUT = "the connection was lost during the set-up or the established call"
+    CANCELLED = "cancelled"
+    NOT_SENT = "never left this exchange"
 
 
 class Reason(Enum):
-    """Why an attempt finished, where the switch says so."""
+    """Why an attempt ended, as given by the switch."""
 
     NONE = "none given"
-    NO_CIRCUIT = "no circuit or agent free"
-    REJECTED_BY_TANDEM = "the tandem turned it back"
-    DESTINATION_PROCESSOR_FULL = "the tandem turned it back: the destination's processor was full"
-    PROCESSOR_FULL = "processor full"
-    LINES_BUSY = "every line of the number is busy"
-    DECLINED = "the switch wants no further try of this call"
+    NO_CIRCUIT = "no free circuit or agent"
+    REJECTED_BY_TANDEM = "rejected by the tandem"
+    DESTINATION_PROCESSOR_FULL = "rejected by the tandem because the destination's processor was full"
+    PROCESSOR_FULL = "the switch's processor was full"
+    LINES_BUSY = "all lines of the number are busy"
+    DECLINED = "the switch asks for no further attempt of this call"
 
 
 class SwitchState(Enum):
+    """Whether a switch may be sent new set-ups; only a READY one may."""
+
     READY = "ready"
     DRAINING = "draining"
     GONE = "gone"
 
 
 class ListKind(Enum):
+    """How a switch list relates to the previous one."""
+
     CHANGES = "changed entries only"
     COMPLETE = "the complete list"
-    REMEMBERED = "the list as last held, possibly outdated"
-    FAILED = "the list could not be had"
+    REMEMBERED = "a stored copy of the list, possibly outdated"
+    FAILED = "the list could not be obtained"
 
 
 @dataclass(frozen=True, slots=True)
 class CallClass:
-    aim_s: float
-    deadline_s: float
+    """A class of calls, and what an answered call of it is worth."""
+
+    aim_s: float  # a call answered within this time earns its full worth
+    deadline_s: float  # how long a caller waits for the answer
     worth: float
-    late_worth_share: float
-    width_circuits: int
-    length_s: float
+    late_worth_share: float  # share of the worth that an answer after `aim_s` earns
+    width_circuits: int  # circuits that a call occupies
+    length_s: float  # mean duration of an established call
     pools: tuple[int, ...]  # pools form only: numbers of the pools that can serve the class
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    quota_per_s: float  # calls a second, over all call controllers, that are within its share
+    """A customer whose calls are counted against a quota."""
+
+    quota_per_s: float  # calls per second within its share, over all call controllers together
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a call controller is given at its start. There are no defaults: every figure is the operator's."""
+    """Configuration of a call controller. There are no defaults: the operator sets every value.
+
+    Raises ValueError, with the name of the field at the start of the text, for a value that cannot be used.
+    """
 
-    seed: int
-    own_number: int  # -1 in the pools form
-    controllers: int
-    pools_form: bool
+    seed: int  # of the random number generator
+    own_number: int  # number of this exchange; -1 in the pools form
+    controllers: int  # number of call controllers in the network
+    pools_form: bool  # True: pools of agents; False: exchanges joined by trunk groups
     classes: tuple[CallClass, ...]
     tenants: tuple[Tenant, ...]
-    over_share_worth: float
-    release_s: float
-    resend_s: float  # 0: a waiting set-up is not sent again by itself
-    max_attempts: int
-    probes_allowed: bool
-    messages_allowed: bool
-    hold_off_allowed: bool
+    over_share_worth: float  # worth of calls beyond a tenant's quota
+    release_s: float  # time that the release of an abandoned attempt takes
+    resend_s: float  # 0: an unanswered set-up is not retransmitted automatically
+    max_attempts: int  # per call
+    probes_allowed: bool  # `Probe` may be used
+    messages_allowed: bool  # `SendPeerMessage` may be used
+    hold_off_allowed: bool  # `Refuse` may ask the caller to wait before a redial
     max_hold_off_s: float
-    list_on_request: bool
-    ask_within_s: float
-    drain_grace_s: float
-    cold_share: float
-    warm_up_s: float
-    tip_multiple: float
-    fall_s: float
-    tick_s: float
+    list_on_request: bool  # the list of switches comes only on `Subscribe`
+    ask_within_s: float  # the list has to be requested again within this time
+    drain_grace_s: float  # after the announcement of a drain, new set-ups have to stop within this time
+    cold_share: float  # share of its capacity that a switch has directly after its start, in (0, 1]
+    warm_up_s: float  # from a switch's start until it has its full capacity
+    tip_multiple: float  # load that overturns a switch, as a multiple of its present capacity
+    fall_s: float  # time window over which that load is counted
+    tick_s: float  # time resolution of the host
 
     def __post_init__(self) -> None:
         for name in (
@@ -103,176 +119,210 @@
             "fall_s",
             "tick_s",
         ):
-            _need(name, getattr(self, name), 0)
+            _require_number(name, getattr(self, name), 0)
         for name in ("controllers", "max_attempts"):
-            _need(name, getattr(self, name), 1)
-        _need("own_number", self.own_number, -1)
-        _need("cold_share", self.cold_share, 0)
+            _require_number(name, getattr(self, name), 1)
+        _require_number("own_number", self.own_number, -1)
+        _require_number("cold_share", self.cold_share, 0)
         if not 0 < self.cold_share <= 1:
             raise ValueError(f"cold_share: must lie above 0 and at most 1, is {self.cold_share!r}")
-        _need("tip_multiple", self.tip_multiple, 0)
+        _require_number("tip_multiple", self.tip_multiple, 0)
         if self.tip_multiple * self.cold_share <= 0:
             raise ValueError(f"tip_multiple: must be above 0, is {self.tip_multiple!r}")
         if not self.classes:
             raise ValueError("classes: at least one call class is needed")
         if not self.pools_form and self.own_number < 0:
-            raise ValueError("own_number: a network of trunk groups needs the own exchange's number")
-        for place, item in enumerate(self.classes):
-            where = f"classes[{place}]."
+            raise ValueError("own_number: a network of trunk groups needs this exchange's number")
+        for index, item in enumerate(self.classes):
+            prefix = f"classes[{index}]."
             for name in ("worth", "late_worth_share", "length_s"):
-                _need(where + name, getattr(item, name), 0)
-            _need(where + "width_circuits", item.width_circuits, 1)
+                _require_number(prefix + name, getattr(item, name), 0)
+            _require_number(prefix + "width_circuits", item.width_circuits, 1)
             for name in ("aim_s", "deadline_s"):
-                if _need(where + name, getattr(item, name), 0) == 0:
-                    raise ValueError(f"{where}{name}: must be above 0")
+                if _require_number(prefix + name, getattr(item, name), 0) == 0:
+                    raise ValueError(f"{prefix}{name}: must be above 0")
             if item.aim_s > item.deadline_s:
-                raise ValueError(f"{where}aim_s: {item.aim_s} lies past the deadline of {item.deadline_s}")
+                raise ValueError(f"{prefix}aim_s: {item.aim_s} exceeds the deadline of {item.deadline_s}")
             if self.pools_form and not item.pools:
-                raise ValueError(f"{where}pools: the pools form needs the pools of every class")
-        for place, tenant in enumerate(self.tenants):
-            _need(f"tenants[{place}].quota_per_s", tenant.quota_per_s, 0)
+                raise ValueError(f"{prefix}pools: the pools form needs at least one pool for every class")
+        for index, tenant in enumerate(self.tenants):
+            _require_number(f"tenants[{index}].quota_per_s", tenant.quota_per_s, 0)
 
 
-def _need(name: str, value: object, least: float) -> float:
+def _require_number(name: str, value: object, minimum: float) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float) or value != value:
         raise ValueError(f"{name}: missing or not a number, is {value!r}")
-    if value < least:
-        raise ValueError(f"{name}: must be at least {least}, is {value!r}")
+    if value < minimum:
+        raise ValueError(f"{name}: must be at least {minimum}, is {value!r}")
     return value
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What a report says of a switch; None: not told."""
+    """Load of a switch and of the trunk group towards it; None: not reported."""
 
-    free_circuits: float | None = None
-    group_circuits: float | None = None
-    active: float | None = None
-    waiting: float | None = None
-    busy_share: float | None = None
-    wait_s: float | None = None
-    capacity_per_s: float | None = None
-    hold_back_share: float | None = None
+    free_circuits: float | None = None  # of the trunk group
+    group_circuits: float | None = None  # size of the trunk group
+    active: float | None = None  # calls in progress
+    waiting: float | None = None  # set-ups that wait for the processor
+    busy_share: float | None = None  # utilisation of the processor, 0 to 1
+    wait_s: float | None = None  # mean wait of a set-up for the processor
+    capacity_per_s: float | None = None  # set-ups that the processor can handle per second
+    hold_back_share: float | None = None  # share of set-ups, 0 to 1, that senders are asked to hold back
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    switch: int
-    number: int
+    """One switch of a switch list."""
+
+    switch: int  # identifies the process; a restarted one may keep it, with a later `started_at_s`
+    number: int  # of the exchange, or of the pool, that it serves
     state: SwitchState
     started_at_s: float  # 0: long ago
 
 
 @dataclass(frozen=True, slots=True)
 class SwitchList:
+    """Event: the list of switches, or with `CHANGES` its changed entries, has arrived."""
+
     kind: ListKind
-    entries: tuple[Entry, ...]
+    entries: tuple[Entry, ...]  # empty for `FAILED`
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
+    """Event: a call has arrived and needs exactly one final answer."""
+
     call: int
-    class_index: int
-    width_circuits: float
-    time_left_s: float
-    tenant: int
+    class_index: int  # in `Settings.classes`
+    width_circuits: float  # circuits that the call occupies
+    time_left_s: float  # how much longer the caller waits
+    tenant: int  # index in `Settings.tenants`
     number_called: int  # 0: none
-    destination: int
-    in_transit: bool
-    was_cut: bool
-    dialled_again: bool
-    advice: int  # number of a tandem or pool; in transit the originating exchange; -1: none
+    destination: int  # number of the exchange or pool
+    in_transit: bool  # sent here by another exchange, with this one as its tandem
+    was_cut: bool  # set up again after it was cut
+    dialled_again: bool  # a redial by the caller
+    advice: int  # number of the advised tandem or pool; in transit the originating exchange's; -1: none
 
 
 @dataclass(frozen=True, slots=True)
 class CallEstablished:
+    """Event: the switch has accepted an attempt; the call is established and has its final answer."""
+
     call: int
-    attempt: int
+    attempt: int  # of this call, counted from 0
     switch: int
-    elapsed_s: float
+    elapsed_s: float  # from the set-up to its answer
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
+    """Event: an attempt has ended without an established call, or an established call has ended."""
+
     call: int
-    attempt: int
+    attempt: int  # of this call, counted from 0
     switch: int
     outcome: Outcome
-    elapsed_s: float
-    call_over: bool
+    elapsed_s: float  # from the set-up to the end of the attempt
+    call_over: bool  # True: no further answer is needed
     reason: Reason
-    retry_after_s: float | None
-    load: Load | None
+    retry_after_s: float | None  # wait that the switch asked for; None: none given
+    load: Load | None  # sent along by the switch; None: none
 
 
 @dataclass(frozen=True, slots=True)
 class Withdrawn:
+    """Event: the caller has given the call up; it needs no answer any more."""
+
     call: int
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
+    """Event: a switch has reported its load, or a probe has had no answer."""
+
     switch: int
-    answered: bool
-    elapsed_s: float
-    solicited: bool
-    load: Load | None
+    answered: bool  # False: the probe failed
+    elapsed_s: float  # from the probe to its answer; 0 for an unsolicited report
+    solicited: bool  # the result of a `Probe`
+    load: Load | None  # None: not reported
 
 
 @dataclass(frozen=True, slots=True)
 class TimerDue:
+    """Event: the timer that `SetTimer` set with this token has expired."""
+
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    sender: int
+    """Event: a message from another call controller."""
+
+    sender: int  # number of its exchange
     payload: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class SetUp:
+    """Action: send a set-up of the call to the switch."""
+
     call: int
     switch: int
-    abandon_at_s: float
+    abandon_at_s: float  # an attempt that has no answer by then ends with `TIMEOUT`; 0: no limit of its own
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
+    """Action, a final answer: turn the call away."""
+
     call: int
-    hold_off_s: float  # 0: no indication to the caller
+    hold_off_s: float  # how long the caller is asked to wait before a redial; 0: not indicated
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
+    """Action, a final answer: the call has failed, without an indication of when to redial."""
+
     call: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
+    """Action: report `TimerDue` with this token after the delay."""
+
     delay_s: float
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
+    """Action: request the list of switches, and its changes from now on."""
+
     pass
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
+    """Action: ask a switch for its load; the result comes as a `LoadReport`."""
+
     switch: int
 
 
 @dataclass(frozen=True, slots=True)
 class SendPeerMessage:
-    peer: int | None  # None: every other call controller
+    """Action: send a message to another call controller."""
+
+    peer: int | None  # number of its exchange; None: every other call controller
     payload: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class LogMessage:
-    text: str  # one line for the operators' log
+    """Action: write one line to the operators' log."""
+
+    text: str
 
 
 Event = (
