--- a/chutefork/core/__init__.py
+++ b/chutefork/core/__init__.py
@@ -1,1 +1,1 @@
-"""The core that knows no wire: calls, attempts, deadlines and hubs, changed by one reducer."""
+"""Protocol-independent core: the state of calls, attempts, deadlines and hubs, changed by one reducer."""
