--- a/chutefork/core/reducer.py
+++ b/chutefork/core/reducer.py
@@ -1,8 +1,10 @@
-"""The one place where state changes: (state, event, now) gives the effects to carry out.
+"""The single state machine: `reduce` applies one event to the state and returns the effects to carry out.
 
-The decisions are those of `call_controller.CallController`; what is guarded here holds whatever it asks
-for: one final answer a call, one attempt out, the release wait, nothing fresh to a hub that drains, the
-attempt cap.
+Routing and admission are decided by `call_controller.CallController`. This module enforces invariants that
+hold whatever the controller asks for: exactly one final answer per call, at most one open attempt per call,
+no set-up during the release wait, no new set-up to a draining hub, and at most `max_attempts` attempts.
+
+Times are whole microseconds on the monotonic clock; names ending in `_us` or `_s` are durations.
 """
 
 from __future__ import annotations
@@ -14,139 +16,183 @@
 from ..call_controller import CallController
 from . import messages
 
-SECOND = 1_000_000
-ANSWER_MARGIN_US = 60_000  # before the caller stops waiting: the way here and back, and a busy loop
-RELEASE_MARGIN_US = 50_000  # a release may take longer to its hub than the next set-up to another one
-KEPT_US = 30 * SECOND  # how long a finished call's id is known: its late answers and releases are no news
+US_PER_SECOND = 1_000_000
+# Subtracted from the time the caller waits: transit in both directions, and delay in a busy event loop.
+ANSWER_MARGIN_US = 60_000
+# Added to the release wait: a release may take longer to reach its hub than the next set-up takes to reach
+# another one.
+RELEASE_MARGIN_US = 50_000
+# How long the id of a finished call is kept, so that late answers and releases for it are recognized.
+FINISHED_CALL_RETENTION_US = 30 * US_PER_SECOND
 
 
 @dataclass(slots=True)
 class Call:
-    """A call that is owed its final answer."""
+    """A call that has not had its final answer yet."""
 
     arrival: messages.Arrival
-    answer_by: int
-    attempts: int = 0
-    hub: str | None = None  # where its one attempt is out
-    sent_at: int = 0
-    clear_at: int = 0  # release wait: no set-up before then
-    held: api.SetUp | None = None  # a set-up that waits for that
-    last: tuple[api.Outcome, api.Reason] | None = None
+    answer_by: int  # when the final answer is due: the caller's time limit less ANSWER_MARGIN_US
+    attempts: int = 0  # attempts so far, with those that ended before a set-up was sent
+    pending_hub: str | None = None  # name of the hub that the open attempt was sent to; None: none open
+    sent_at: int = 0  # when the latest set-up was sent; 0: none sent
+    release_wait_until: int = 0  # end of the release wait, before which no set-up may be sent
+    deferred_setup: api.SetUp | None = None  # set-up to be sent at the end of the release wait
+    last_result: tuple[api.Outcome, api.Reason] | None = None  # of the latest attempt; None: none has ended
 
 
 @dataclass(slots=True)
 class HubEntry:
-    hub: messages.Hub
-    switch: int
-    standing: set[int] = field(default_factory=set)
+    """A listed hub and the calls established there."""
+
+    hub: messages.Hub  # as last listed
+    switch: int  # the number by which the controller identifies the hub
+    established_calls: set[int] = field(default_factory=set)  # call ids
 
 
 @dataclass(slots=True)
 class State:
+    """The whole state of one call controller, changed only by `reduce`.
+
+    A call id is in at most one of `calls`, `established` and `finished_at`.
+    """
+
     settings: api.Settings
     controller: CallController
-    calls: dict[int, Call] = field(default_factory=dict)
-    standing: dict[int, str] = field(default_factory=dict)  # call -> hub
-    finished: dict[int, int] = field(default_factory=dict)  # call -> when, oldest first
-    hubs: dict[str, HubEntry] = field(default_factory=dict)
-    names: dict[int, str] = field(default_factory=dict)  # the module's switch -> hub
-    switches: dict[str, int] = field(default_factory=dict)
+    calls: dict[int, Call] = field(default_factory=dict)  # call id -> call without a final answer
+    established: dict[int, str] = field(default_factory=dict)  # call id -> name of the hub that it is up at
+    finished_at: dict[int, int] = field(default_factory=dict)  # call id -> when it finished, oldest first
+    hubs: dict[str, HubEntry] = field(default_factory=dict)  # by hub name
+    hub_by_switch: dict[int, str] = field(default_factory=dict)  # the controller's switch number -> hub name
+    switch_by_hub: dict[str, int] = field(default_factory=dict)  # the inverse of `hub_by_switch`
+    # Heap of (due time, sequence number, kind, key, attempt). The kinds, and what they hold as key:
+    # "controller": token of a timer set by the controller; "deferred_setup": id of a call whose release wait
+    # ends; "attempt_timeout": id of a call whose attempt number `attempt` expires; "answer_deadline": id of a
+    # call whose final answer is due.
     timers: list[tuple[int, int, str, int, int]] = field(default_factory=list)
-    sequence: int = 0
-    last_switch: int = 0  # numbers of hubs that are gone are not given again
-    wake_at: int = 0
+    timer_sequence: int = 0  # latest sequence number: timers due at the same time fire in the order set
+    last_switch_number: int = 0  # latest switch number assigned; numbers of removed hubs are not reused
+    wake_at: int = 0  # the time in the latest `WakeAt` effect; 0: none outstanding
 
     @classmethod
     def fresh(cls, settings: api.Settings) -> State:
+        """Returns the state at program start: no calls, no hubs, and a new controller with these settings."""
         return cls(settings, CallController(settings))
 
 
 def reduce(state: State, event: messages.Event, now: int) -> list[messages.Effect]:
+    """Applies `event` to `state` in place and returns the effects, in the order in which to carry them out.
+
+    `now` is the current time. Also removes expired ids of finished calls, and requests a wake-up with
+    `WakeAt` if the earliest timer is due at another time than the latest request said.
+    """
     effects: list[messages.Effect] = []
     _HANDLERS[type(event)](state, event, now, effects)
-    while state.finished:
-        call = next(iter(state.finished))
-        if state.finished[call] > now - KEPT_US:
+    while state.finished_at:
+        call_id = next(iter(state.finished_at))
+        if state.finished_at[call_id] > now - FINISHED_CALL_RETENTION_US:
             break
-        del state.finished[call]
+        del state.finished_at[call_id]
     if state.timers and state.timers[0][0] != state.wake_at:
         state.wake_at = state.timers[0][0]
         effects.append(messages.WakeAt(state.wake_at))
     return effects
 
 
-def _timer(state: State, at: int, kind: str, key: int, serial: int = 0) -> None:
-    state.sequence += 1
-    heapq.heappush(state.timers, (at, state.sequence, kind, key, serial))
+def _add_timer(state: State, at: int, kind: str, key: int, attempt: int = 0) -> None:
+    """Adds a timer that fires at the time `at`; see `State.timers` for the other parameters."""
+    state.timer_sequence += 1
+    heapq.heappush(state.timers, (at, state.timer_sequence, kind, key, attempt))
 
 
-def _decide(state: State, event: api.Event, now: int, effects: list[messages.Effect]) -> None:
-    for action in state.controller.handle(now / SECOND, event):
+def _run_controller(state: State, event: api.Event, now: int, effects: list[messages.Effect]) -> None:
+    """Passes an event to the controller and carries out the actions that it returns."""
+    for action in state.controller.handle(now / US_PER_SECOND, event):
         if isinstance(action, api.SetUp):
-            _set_up(state, action, now, effects)
+            _start_attempt(state, action, now, effects)
         elif isinstance(action, api.Refuse):
-            _finish(state, action.call, now, effects, refused=True, wait_s=action.hold_off_s)
+            _finish_with_failure(
+                state, action.call, now, effects, refused=True, retry_after_s=action.hold_off_s
+            )
         elif isinstance(action, api.Fail):
-            _finish(state, action.call, now, effects, refused=False)
+            _finish_with_failure(state, action.call, now, effects, refused=False)
         elif isinstance(action, api.SetTimer):
-            _timer(state, now + round(action.delay_s * SECOND), "token", action.token)
+            _add_timer(state, now + round(action.delay_s * US_PER_SECOND), "controller", action.token)
         elif isinstance(action, api.LogMessage):
             effects.append(messages.LogMessage(action.text))
-        # Probe, Tell and Subscribe: this deployment allows none of them, its list comes by itself
+        # Probe, SendPeerMessage and Subscribe are ignored: this deployment allows none of them, and hub lists
+        # arrive without a request.
+
 
+def _start_attempt(state: State, action: api.SetUp, now: int, effects: list[messages.Effect]) -> None:
+    """Carries out the controller's request for a set-up.
 
-def _set_up(state: State, action: api.SetUp, now: int, effects: list[messages.Effect]) -> None:
+    Sends it to the hub with an attempt timeout, defers it to the end of the release wait, or ends the attempt
+    at once as NOT_SENT. Ignored if the call has its final answer or has an open attempt.
+    """
     call = state.calls.get(action.call)
-    name = state.names.get(action.switch)
-    entry = state.hubs.get(name) if name is not None else None
-    if call is None or call.hub is not None:
+    hub_name = state.hub_by_switch.get(action.switch)
+    entry = state.hubs.get(hub_name) if hub_name is not None else None
+    if call is None or call.pending_hub is not None:
         return
-    if now < call.clear_at:  # guards the release wait, whatever the module asks for
-        call.held = action
-        _timer(state, call.clear_at, "held", action.call)
+    if now < call.release_wait_until:  # the release wait holds whatever the controller asks for
+        call.deferred_setup = action
+        _add_timer(state, call.release_wait_until, "deferred_setup", action.call)
         return
-    wait_us = min(round(action.abandon_at_s * SECOND) or call.answer_by, call.answer_by) - now
-    sendable = entry is not None and entry.hub.state is api.SwitchState.READY
-    if not sendable or call.attempts >= state.settings.max_attempts or wait_us <= 0:
-        # guards against a set-up to a hub that drains or has gone since, and a seventh attempt
+    timeout_us = min(round(action.abandon_at_s * US_PER_SECOND) or call.answer_by, call.answer_by) - now
+    accepts_setups = entry is not None and entry.hub.state is api.SwitchState.READY
+    if not accepts_setups or call.attempts >= state.settings.max_attempts or timeout_us <= 0:
+        # Prevents a set-up to a hub that is draining or has gone since the controller decided, an attempt
+        # beyond max_attempts, and a set-up with no time left.
         call.attempts += 1
         _end_attempt(
             state, action.call, call, action.switch, api.Outcome.NOT_SENT, api.Reason.NONE, None, now, effects
         )
         return
     call.attempts += 1
-    call.hub, call.sent_at, call.held = name, now, None
-    _timer(state, now + wait_us, "attempt", action.call, call.attempts)
-    effects.append(messages.SetUp(action.call, name, wait_us))
+    call.pending_hub, call.sent_at, call.deferred_setup = hub_name, now, None
+    _add_timer(state, now + timeout_us, "attempt_timeout", action.call, call.attempts)
+    effects.append(messages.SetUp(action.call, hub_name, timeout_us))
 
 
-def _finish(
-    state: State, call_id: int, now: int, effects: list[messages.Effect], refused: bool, wait_s: float = 0.0
+def _finish_with_failure(
+    state: State,
+    call_id: int,
+    now: int,
+    effects: list[messages.Effect],
+    refused: bool,
+    retry_after_s: float = 0.0,
 ) -> None:
-    """The one final answer of a call that does not stand."""
+    """Gives a call that was not established its final answer and releases its open attempt, if any.
+
+    The answer is `Refuse` with the given retry-after time, at most `max_hold_off_s`, if `refused` is true,
+    else `Fail`. Its cause follows from the latest attempt, the deadline and the listed hubs. Does nothing
+    if the call has its final answer already.
+    """
     call = state.calls.pop(call_id, None)
     if call is None:
         return
-    state.finished[call_id] = now
-    if call.hub is not None:
-        effects.append(messages.Release(call_id, call.hub))
-    outcome, reason = call.last or (api.Outcome.NOT_SENT, api.Reason.NONE)
-    why = messages.FailureCause.UNAVAILABLE
-    if call.last is None and now >= call.answer_by:
-        why = messages.FailureCause.DEADLINE_EXPIRED
+    state.finished_at[call_id] = now
+    if call.pending_hub is not None:
+        effects.append(messages.Release(call_id, call.pending_hub))
+    outcome, reason = call.last_result or (api.Outcome.NOT_SENT, api.Reason.NONE)
+    cause = messages.FailureCause.UNAVAILABLE
+    if call.last_result is None and now >= call.answer_by:
+        cause = messages.FailureCause.DEADLINE_EXPIRED
     elif reason is api.Reason.LINES_BUSY:
-        why = messages.FailureCause.LINES_BUSY
+        cause = messages.FailureCause.LINES_BUSY
     elif outcome is api.Outcome.TIMEOUT:
-        why = messages.FailureCause.NO_ANSWER
+        cause = messages.FailureCause.NO_ANSWER
     elif outcome in (api.Outcome.ERROR, api.Outcome.CUT):
-        why = messages.FailureCause.NETWORK_ERROR
+        cause = messages.FailureCause.NETWORK_ERROR
     elif not any(entry.hub.number == call.arrival.destination for entry in state.hubs.values()):
-        why = messages.FailureCause.UNKNOWN_DESTINATION
+        cause = messages.FailureCause.UNKNOWN_DESTINATION
     if refused:
-        cap_us = round(state.settings.max_hold_off_s * SECOND)
-        effects.append(messages.Refuse(call_id, min(round(wait_s * SECOND), cap_us), why))
+        max_retry_after_us = round(state.settings.max_hold_off_s * US_PER_SECOND)
+        effects.append(
+            messages.Refuse(call_id, min(round(retry_after_s * US_PER_SECOND), max_retry_after_us), cause)
+        )
     else:
-        effects.append(messages.Fail(call_id, why))
+        effects.append(messages.Fail(call_id, cause))
 
 
 def _end_attempt(
@@ -156,20 +202,25 @@
     switch: int,
     outcome: api.Outcome,
     reason: api.Reason,
-    told_wait_us: int | None,
+    retry_after_us: int | None,
     now: int,
     effects: list[messages.Effect],
 ) -> None:
-    elapsed_s = (now - call.sent_at) / SECOND if call.hub is not None else 0.0
-    call.hub = None
-    call.last = outcome, reason
+    """Ends the attempt of a call that is not established, and lets the controller decide how to go on.
+
+    `switch` is the controller's number of the hub. Outcomes that leave a release under way (TIMEOUT, CUT and
+    CANCELLED) start the release wait. `retry_after_us` is what the hub asked for; None: nothing.
+    """
+    elapsed_s = (now - call.sent_at) / US_PER_SECOND if call.pending_hub is not None else 0.0
+    call.pending_hub = None
+    call.last_result = outcome, reason
     if outcome in (api.Outcome.TIMEOUT, api.Outcome.CUT, api.Outcome.CANCELLED):
-        call.clear_at = now + round(state.settings.release_s * SECOND) + RELEASE_MARGIN_US
-    told_wait_s = None if told_wait_us is None else told_wait_us / SECOND
-    _decide(
+        call.release_wait_until = now + round(state.settings.release_s * US_PER_SECOND) + RELEASE_MARGIN_US
+    retry_after_s = None if retry_after_us is None else retry_after_us / US_PER_SECOND
+    _run_controller(
         state,
         api.AttemptEnded(
-            call_id, call.attempts - 1, switch, outcome, elapsed_s, False, reason, told_wait_s, None
+            call_id, call.attempts - 1, switch, outcome, elapsed_s, False, reason, retry_after_s, None
         ),
         now,
         effects,
@@ -177,25 +228,30 @@
 
 
 def _on_arrival(state: State, event: messages.Arrival, now: int, effects: list[messages.Effect]) -> None:
-    if event.call in state.calls or event.call in state.standing:
+    """Handles a new call: starts its answer deadline and passes it to the controller.
+
+    A second set-up with the id of a call in progress or established is logged and ignored; one with the id of
+    a call that finished recently is refused.
+    """
+    if event.call in state.calls or event.call in state.established:
         effects.append(
-            messages.LogMessage(f"call {event.call:016x}: set up twice, the second is passed over")
+            messages.LogMessage(f"call {event.call:016x}: set up twice, the second set-up is ignored")
         )
         return
-    if event.call in state.finished:
-        # guards against late answers to the first of that id, taken for answers to this one
+    if event.call in state.finished_at:
+        # If it were sent on, a late answer to the first call with this id could be taken for its answer.
         effects.append(messages.Refuse(event.call, 0, messages.FailureCause.UNAVAILABLE))
         return
-    left_us = max(event.time_left_us - ANSWER_MARGIN_US, 0)
-    state.calls[event.call] = Call(event, now + left_us)
-    _timer(state, now + left_us, "answer", event.call)
-    _decide(
+    remaining_us = max(event.time_left_us - ANSWER_MARGIN_US, 0)
+    state.calls[event.call] = Call(event, now + remaining_us)
+    _add_timer(state, now + remaining_us, "answer_deadline", event.call)
+    _run_controller(
         state,
         api.Arrival(
             event.call,
             event.class_index,
             event.width_circuits,
-            left_us / SECOND,
+            remaining_us / US_PER_SECOND,
             event.tenant,
             event.number_called,
             event.destination,
@@ -210,76 +266,111 @@
 
 
 def _on_withdrawn(state: State, event: messages.Withdrawn, now: int, effects: list[messages.Effect]) -> None:
+    """Handles a caller that withdraws its set-up or hangs up an established call.
+
+    Releases the call at its hub, if it has one, and informs the controller. Ignored for a call that is
+    neither in progress nor established.
+    """
     call = state.calls.pop(event.call, None)
     if call is not None:
-        state.finished[event.call] = now
-        if call.hub is not None:
-            effects.append(messages.Release(event.call, call.hub))
-        _decide(state, api.Withdrawn(event.call), now, effects)
+        state.finished_at[event.call] = now
+        if call.pending_hub is not None:
+            effects.append(messages.Release(event.call, call.pending_hub))
+        _run_controller(state, api.Withdrawn(event.call), now, effects)
         return
-    hub = state.standing.get(event.call)
+    hub = state.established.get(event.call)
     if hub is not None:
-        _unstand(state, event.call, hub, now)
+        _remove_established(state, event.call, hub, now)
         effects.append(messages.Release(event.call, hub))
-        _decide(
+        _run_controller(
             state,
             api.AttemptEnded(
-                event.call, 0, state.switches[hub], api.Outcome.OK, 0.0, True, api.Reason.NONE, None, None
+                event.call,
+                0,
+                state.switch_by_hub[hub],
+                api.Outcome.OK,
+                0.0,
+                True,
+                api.Reason.NONE,
+                None,
+                None,
             ),
             now,
             effects,
         )
 
 
-def _unstand(state: State, call: int, hub: str, now: int) -> None:
-    state.standing.pop(call, None)
-    state.finished[call] = now
+def _remove_established(state: State, call_id: int, hub: str, now: int) -> None:
+    """Marks an established call as finished and removes it from its hub."""
+    state.established.pop(call_id, None)
+    state.finished_at[call_id] = now
     entry = state.hubs.get(hub)
     if entry is not None:
-        entry.standing.discard(call)
+        entry.established_calls.discard(call_id)
 
 
-def _on_stands(
+def _on_established(
     state: State, event: messages.CallEstablished, now: int, effects: list[messages.Effect]
 ) -> None:
+    """Handles a hub's answer that establishes a call: sends the caller `Answer` and informs the controller.
+
+    An answer from a hub with which the call has no open attempt is handled as an unmatched one.
+    """
     call = state.calls.get(event.call)
-    if call is None or call.hub != event.hub:
-        _on_stray(state, messages.UnmatchedAnswer(event.call, event.hub), now, effects)
+    if call is None or call.pending_hub != event.hub:
+        _on_unmatched_answer(state, messages.UnmatchedAnswer(event.call, event.hub), now, effects)
         return
     del state.calls[event.call]
-    state.standing[event.call] = event.hub
-    state.hubs[event.hub].standing.add(event.call)
+    state.established[event.call] = event.hub
+    state.hubs[event.hub].established_calls.add(event.call)
     effects.append(messages.Answer(event.call, event.description))
-    _decide(
+    _run_controller(
         state,
         api.CallEstablished(
-            event.call, call.attempts - 1, state.switches[event.hub], (now - call.sent_at) / SECOND
+            event.call,
+            call.attempts - 1,
+            state.switch_by_hub[event.hub],
+            (now - call.sent_at) / US_PER_SECOND,
         ),
         now,
         effects,
     )
 
 
-def _on_stray(
+def _on_unmatched_answer(
     state: State, event: messages.UnmatchedAnswer, now: int, effects: list[messages.Effect]
 ) -> None:
+    """Handles an answer that matches no open attempt.
+
+    Releases the call at that hub if it is finished, or in progress or established without that hub. An answer
+    with an unknown id is ignored.
+    """
     call = state.calls.get(event.call)
-    if call is not None and call.hub == event.hub or state.standing.get(event.call) == event.hub:
-        return  # a second copy, or the call is on its way there anew: a release would end that
-    if call is not None or event.call in state.finished or event.call in state.standing:
-        # guards against an answer that crossed our giving up: left alone, that call would stand unowned
+    if call is not None and call.pending_hub == event.hub or state.established.get(event.call) == event.hub:
+        return  # a duplicate, or the call is being set up there again: a release would end it
+    if call is not None or event.call in state.finished_at or event.call in state.established:
+        # The answer crossed the release of its attempt. Without another release the call would stay up at the
+        # hub although no caller has it.
         effects.append(messages.Release(event.call, event.hub))
 
 
-def _on_ended(state: State, event: messages.AttemptEnded, now: int, effects: list[messages.Effect]) -> None:
+def _on_attempt_ended(
+    state: State, event: messages.AttemptEnded, now: int, effects: list[messages.Effect]
+) -> None:
+    """Handles the end of an attempt or of an established call at a hub.
+
+    The end of an attempt goes to the controller, which decides how to go on. The end of an established call
+    goes to its caller as `CallEnded` and to the controller. The event is ignored if the call is known but not
+    at that hub; if its id is unknown, the caller gets `CallEnded`.
+    """
     call = state.calls.get(event.call)
     if call is not None:
-        if call.hub == event.hub:
+        if call.pending_hub == event.hub:
             _end_attempt(
                 state,
                 event.call,
                 call,
-                state.switches[event.hub],
+                state.switch_by_hub[event.hub],
                 event.outcome,
                 event.reason,
                 event.retry_after_us,
@@ -287,53 +378,73 @@
                 effects,
             )
         return
-    if state.standing.get(event.call) == event.hub:
-        _unstand(state, event.call, event.hub, now)
+    if state.established.get(event.call) == event.hub:
+        _remove_established(state, event.call, event.hub, now)
         effects.append(messages.CallEnded(event.call, event.outcome is not api.Outcome.OK))
-        _decide(
+        _run_controller(
             state,
             api.AttemptEnded(
-                event.call, 0, state.switches[event.hub], event.outcome, 0.0, True, event.reason, None, None
+                event.call,
+                0,
+                state.switch_by_hub[event.hub],
+                event.outcome,
+                0.0,
+                True,
+                event.reason,
+                None,
+                None,
             ),
             now,
             effects,
         )
-    elif event.call not in state.finished and event.call not in state.standing:
-        # A call that stood before this program's restart is over: only its caller still knows of it.
-        state.finished[event.call] = now
+    elif event.call not in state.finished_at and event.call not in state.established:
+        # A call established before this program restarted has ended: only its caller still knows the call.
+        state.finished_at[event.call] = now
         effects.append(messages.CallEnded(event.call, event.outcome is not api.Outcome.OK))
 
 
-def _on_hubs(state: State, event: messages.HubsListed, now: int, effects: list[messages.Effect]) -> None:
-    named = set()
+def _on_hubs_listed(
+    state: State, event: messages.HubsListed, now: int, effects: list[messages.Effect]
+) -> None:
+    """Handles a hub list: adds, updates and removes hubs, and passes the list to the controller.
+
+    With any kind but CHANGES, hubs that are not listed are gone. The calls established at a hub that is gone
+    or has restarted are cut, and attempts open at a hub that is gone end with CUT. Every hub but the own
+    exchange gets an `UpdateHubConnection` effect.
+    """
+    listed_names = set()
     for hub in event.hubs:
-        named.add(hub.name)
-        switch = state.switches.get(hub.name)
+        listed_names.add(hub.name)
+        switch = state.switch_by_hub.get(hub.name)
         if switch is None:
-            state.last_switch += 1
-            switch = state.switches[hub.name] = state.last_switch
-            state.names[switch] = hub.name
+            state.last_switch_number += 1
+            switch = state.switch_by_hub[hub.name] = state.last_switch_number
+            state.hub_by_switch[switch] = hub.name
         entry = state.hubs.get(hub.name)
         if entry is None:
             entry = state.hubs[hub.name] = HubEntry(hub, switch)
-        elif hub.started_at > entry.hub.started_at > 0 and entry.standing:
-            _cut_all(state, entry, now, effects)  # a later life of the process: what stood there is gone
+        elif hub.started_at > entry.hub.started_at > 0 and entry.established_calls:
+            _cut_established_calls(state, entry, now, effects)  # the hub restarted: its calls are lost
         entry.hub = hub
     if event.kind is not api.ListKind.CHANGES:
         for name, entry in state.hubs.items():
-            if name not in named:
-                old = entry.hub
+            if name not in listed_names:
+                previous = entry.hub
                 entry.hub = messages.Hub(
-                    old.name, old.number, api.SwitchState.GONE, old.address, old.started_at
+                    previous.name,
+                    previous.number,
+                    api.SwitchState.GONE,
+                    previous.address,
+                    previous.started_at,
                 )
     entries = tuple(
-        api.Entry(state.switches[hub.name], hub.number, hub.state, hub.started_at / SECOND)
+        api.Entry(state.switch_by_hub[hub.name], hub.number, hub.state, hub.started_at / US_PER_SECOND)
         for hub in event.hubs
     )
-    _decide(state, api.SwitchList(event.kind, entries), now, effects)
+    _run_controller(state, api.SwitchList(event.kind, entries), now, effects)
     for name, entry in list(state.hubs.items()):
         if entry.hub.state is api.SwitchState.GONE:
-            _cut_all(state, entry, now, effects)
+            _cut_established_calls(state, entry, now, effects)
         if entry.hub.number != state.settings.own_number:
             ready = entry.hub.state is api.SwitchState.READY
             effects.append(
@@ -341,7 +452,7 @@
             )
         if entry.hub.state is api.SwitchState.GONE:
             for call_id, call in list(state.calls.items()):
-                if call.hub == name:
+                if call.pending_hub == name:
                     _end_attempt(
                         state,
                         call_id,
@@ -353,80 +464,107 @@
                         now,
                         effects,
                     )
-            # hubs come and go all day under ever new names; what is not listed is not remembered
-            del state.hubs[name], state.switches[name], state.names[entry.switch]
+            # Hubs keep appearing under new names all day. Removing those that are gone keeps the state from
+            # growing without bound.
+            del state.hubs[name], state.switch_by_hub[name], state.hub_by_switch[entry.switch]
 
 
-def _cut_all(state: State, entry: HubEntry, now: int, effects: list[messages.Effect]) -> None:
-    for call in sorted(entry.standing):
-        _on_ended(state, messages.AttemptEnded(call, entry.hub.name, api.Outcome.CUT), now, effects)
+def _cut_established_calls(state: State, entry: HubEntry, now: int, effects: list[messages.Effect]) -> None:
+    """Ends every call established at the hub with outcome CUT, in the order of their ids."""
+    for call_id in sorted(entry.established_calls):
+        _on_attempt_ended(
+            state, messages.AttemptEnded(call_id, entry.hub.name, api.Outcome.CUT), now, effects
+        )
 
 
-def _on_group(
+def _on_group_state(
     state: State, event: messages.GroupStateReported, now: int, effects: list[messages.Effect]
 ) -> None:
-    switch = state.switches.get(event.hub)
+    """Handles a report of the circuits in the trunk group to a hub.
+
+    Passes it to the controller as an unsolicited load report. Ignored for a hub that is not listed.
+    """
+    switch = state.switch_by_hub.get(event.hub)
     if switch is not None:
         load = api.Load(free_circuits=event.free_circuits, group_circuits=event.group_circuits)
-        _decide(state, api.LoadReport(switch, True, 0.0, False, load), now, effects)
+        _run_controller(state, api.LoadReport(switch, True, 0.0, False, load), now, effects)
+
 
+def _on_hub_down(state: State, event: messages.HubDown, now: int, effects: list[messages.Effect]) -> None:
+    """Handles a hub that was found to be down: cuts the calls established there.
 
-def _on_lost(state: State, event: messages.HubDown, now: int, effects: list[messages.Effect]) -> None:
+    Open attempts are left alone: they end by their own `AttemptEnded` events or timeouts.
+    """
     entry = state.hubs.get(event.hub)
     if entry is not None:
-        # released there too: were it a full listener and no dead process, the calls would stand unowned
-        effects.extend(messages.Release(call, event.hub) for call in sorted(entry.standing))
-        _cut_all(state, entry, now, effects)
+        # The calls are released at the hub as well: if the process is alive and only its listen queue is
+        # full, they would otherwise stay up there although no caller has them.
+        effects.extend(messages.Release(call_id, event.hub) for call_id in sorted(entry.established_calls))
+        _cut_established_calls(state, entry, now, effects)
 
 
-def _on_due(state: State, event: messages.WakeUpDue, now: int, effects: list[messages.Effect]) -> None:
+def _on_wake_up_due(
+    state: State, event: messages.WakeUpDue, now: int, effects: list[messages.Effect]
+) -> None:
+    """Handles the wake-up requested with `WakeAt`: fires the timers that are due, in the order of due time.
+
+    Sends deferred set-ups, releases attempts that timed out, refuses calls whose final answer is due, and
+    passes the controller's own timers to it. Timers of calls or attempts that are over do nothing.
+    """
     state.wake_at = 0
     while state.timers and state.timers[0][0] <= now:
-        _, _, kind, key, serial = heapq.heappop(state.timers)
-        if kind == "token":
-            _decide(state, api.TimerDue(key), now, effects)
+        _, _, kind, key, attempt = heapq.heappop(state.timers)
+        if kind == "controller":
+            _run_controller(state, api.TimerDue(key), now, effects)
             continue
         call = state.calls.get(key)
         if call is None:
             continue
-        if kind == "held" and call.held is not None and call.hub is None:
-            action, call.held = call.held, None
-            _set_up(state, action, now, effects)
-        elif kind == "attempt" and call.hub is not None and call.attempts == serial:
-            hub = call.hub
+        if kind == "deferred_setup" and call.deferred_setup is not None and call.pending_hub is None:
+            setup, call.deferred_setup = call.deferred_setup, None
+            _start_attempt(state, setup, now, effects)
+        elif kind == "attempt_timeout" and call.pending_hub is not None and call.attempts == attempt:
+            hub = call.pending_hub
             effects.append(messages.Release(key, hub))
             _end_attempt(
                 state,
                 key,
                 call,
-                state.switches[hub],
+                state.switch_by_hub[hub],
                 api.Outcome.TIMEOUT,
                 api.Reason.NONE,
                 None,
                 now,
                 effects,
             )
-        elif kind == "answer":
-            # guards against a call that the module lets lie: its caller is owed an answer before it leaves
-            _finish(state, key, now, effects, refused=True)
-            _decide(state, api.Withdrawn(key), now, effects)
+        elif kind == "answer_deadline":
+            # The controller may have left the call undecided: its caller must get an answer before it stops
+            # waiting.
+            _finish_with_failure(state, key, now, effects, refused=True)
+            _run_controller(state, api.Withdrawn(key), now, effects)
 
 
-def _on_leave(state: State, event: messages.Shutdown, now: int, effects: list[messages.Effect]) -> None:
-    for call in list(state.calls):
-        _finish(state, call, now, effects, refused=True, wait_s=state.settings.max_hold_off_s)
-        _decide(state, api.Withdrawn(call), now, effects)
+def _on_shutdown(state: State, event: messages.Shutdown, now: int, effects: list[messages.Effect]) -> None:
+    """Handles the end of the program: refuses every call without a final answer.
+
+    The retry-after time is the longest allowed, `max_hold_off_s`. Established calls are left up.
+    """
+    for call_id in list(state.calls):
+        _finish_with_failure(
+            state, call_id, now, effects, refused=True, retry_after_s=state.settings.max_hold_off_s
+        )
+        _run_controller(state, api.Withdrawn(call_id), now, effects)
 
 
 _HANDLERS = {
     messages.Arrival: _on_arrival,
     messages.Withdrawn: _on_withdrawn,
-    messages.CallEstablished: _on_stands,
-    messages.UnmatchedAnswer: _on_stray,
-    messages.AttemptEnded: _on_ended,
-    messages.HubsListed: _on_hubs,
-    messages.GroupStateReported: _on_group,
-    messages.HubDown: _on_lost,
-    messages.WakeUpDue: _on_due,
-    messages.Shutdown: _on_leave,
+    messages.CallEstablished: _on_established,
+    messages.UnmatchedAnswer: _on_unmatched_answer,
+    messages.AttemptEnded: _on_attempt_ended,
+    messages.HubsListed: _on_hubs_listed,
+    messages.GroupStateReported: _on_group_state,
+    messages.HubDown: _on_hub_down,
+    messages.WakeUpDue: _on_wake_up_due,
+    messages.Shutdown: _on_shutdown,
 }
--- a/chutefork/net/exchanges.py
+++ b/chutefork/net/exchanges.py
@@ -381,7 +381,7 @@
 
     def stands_at(self, hub: str) -> bool:
         entry = self.driver.state.hubs.get(hub)
-        return entry is not None and bool(entry.standing)
+        return entry is not None and bool(entry.established_calls)
 
     def tried(self) -> None:
         waiting = any(item.connection is None and not item.tries for item in self.links.values())
