--- a/chutefork/__main__.py
+++ b/chutefork/__main__.py
@@ -1,7 +1,7 @@
-"""One real call controller: `python -m chutefork`, told by EDGE_CONFIG what it is.
+"""Runs a call controller: `python -m chutefork`, configured by the JSON file that EDGE_CONFIG names.
 
-The SIP front has a file of its own, `deploy/sip.toml` or what CHUTEFORK_SIP names; it may run without the
-platform's.
+The SIP front is configured by `deploy/sip.toml` or the file that CHUTEFORK_SIP names. It can run alone,
+without EDGE_CONFIG.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 from twisted.logger import globalLogBeginner
 
-from .config import Config, ConfigError, address_of, hubs_of, load
+from .config import Config, ConfigError, address_of, hub_list_event, load
 from .core.messages import Shutdown
 from .core.reducer import State
 from .net.callers import CallerFront
@@ -28,42 +28,46 @@
 from .sip import settings as sip_settings
 from .sip.node import SipNode
 
-ACCEPT_S = 0.75  # after SIGTERM connections and requests go on coming for up to 0.6 s
-LONGEST_S = 3.0  # a deadline counts at most so long for the end after SIGTERM
+ACCEPT_AFTER_SIGTERM_S = 0.75  # connections and requests keep arriving for up to 0.6 s after SIGTERM
+MAX_EXIT_WAIT_S = 3.0  # after SIGTERM open calls get the longest call deadline, but no more than this
 
 
-class Platform:
-    """The platform's front, legs and command channel round one core."""
+class PlatformNode:
+    """The caller front, the exchange legs and the command channel, around a reducer state of their own."""
 
     def __init__(self, config: Config, clock: TurnReactor) -> None:
         self.clock = clock
         self.config = config
-        self.place = UnixPlace()
+        self.unix_clock = UnixPlace()
         self.driver = Driver(State.fresh(config.settings), clock)
         self.front = CallerFront(self.driver, config, clock)
         self.legs = ExchangeLegs(
             self.driver, self.front, clock, config.connect_timeout_s, config.idle_close_s
         )
         self.driver.attach(self.front, self.legs)
-        self.channel = Channel(config.channel, config.cursor, self.told, clock)
+        self.channel = Channel(config.channel, config.cursor, self.apply_commands, clock)
 
     def start(self) -> None:
         self.legs.all_tried = self.front.be_ready
-        self.told(self.config.known)
+        self.apply_commands(self.config.known)
         self.channel.connect()
         host, port = self.config.listen
-        self.port = self.clock.listenTCP(port, self.front.factory, backlog=512, interface=host)
+        self.listening_port = self.clock.listenTCP(port, self.front.factory, backlog=512, interface=host)
         self.front.sweep()
         self.legs.watch()
-        log(f"serving name={self.config.name} listen={host}:{self.port.getHost().port}")
+        log(f"serving name={self.config.name} listen={host}:{self.listening_port.getHost().port}")
 
     def reload(self) -> None:
-        """The file anew: the command channel may have moved, and tells at its new address what came after
-        the last number. All that is open stays; what binds from the start (address, settings) is not read."""
+        """Reads the configuration file again and applies `channel`, the address of the command channel.
+
+        At a new address the command channel resumes after the last cursor. Open calls and connections stay.
+        What is fixed at start (listen address, settings) is ignored. If the file is invalid, the running
+        configuration stays in force.
+        """
         try:
             config = load(os.environ.get("EDGE_CONFIG", ""))
-        except ConfigError as fault:
-            log(f"reload kept=running detail={str(fault)[:160]!r}")
+        except ConfigError as error:
+            log(f"reload kept=running detail={str(error)[:160]!r}")
             return
         moved = config.channel != self.config.channel
         log(f"reload channel={config.channel} moved={'yes' if moved else 'no'}")
@@ -71,95 +75,104 @@
         if moved:
             self.channel.move(config.channel)
 
-    def told(self, commands: list) -> None:
+    def apply_commands(self, commands: list) -> None:
+        """Passes the exchange lists among the commands to the reducer."""
         for command in commands:
-            event = hubs_of(command, self.place)
+            event = hub_list_event(command, self.unix_clock)
             if event is not None:
                 self.driver.tell(event)
 
-    def terminate(self, done: Callable[[], None]) -> None:
+    def terminate(self, on_stopped: Callable[[], None]) -> None:
+        """Keeps serving for a moment after SIGTERM, waits for open calls, then closes everything."""
         self.front.leaving = True
-        until = self.clock.now_us() + round((min(self.config.deadline_s, LONGEST_S) + 0.4) * 1e6)
-        self.clock.callLater(ACCEPT_S, self.leave, until, done)
-
-    def leave(self, until: int, done: Callable[[], None]) -> None:
-        self.port.stopListening()
-        left = len(self.front.owed) + len(self.front.standing)
-        if left and self.clock.now_us() < until:
-            self.clock.callLater(0.02, self.leave, until, done)
+        deadline_us = self.clock.now_us() + round((min(self.config.deadline_s, MAX_EXIT_WAIT_S) + 0.4) * 1e6)
+        self.clock.callLater(ACCEPT_AFTER_SIGTERM_S, self.close_when_idle, deadline_us, on_stopped)
+
+    def close_when_idle(self, deadline_us: int, on_stopped: Callable[[], None]) -> None:
+        """Stops listening and, once no call is open or at `deadline_us`, closes all connections."""
+        self.listening_port.stopListening()
+        open_calls = len(self.front.owed) + len(self.front.standing)
+        if open_calls and self.clock.now_us() < deadline_us:
+            self.clock.callLater(0.02, self.close_when_idle, deadline_us, on_stopped)
             return
         log(f"left unanswered={len(self.front.owed)} standing={len(self.front.standing)}")
-        self.driver.tell(Shutdown())  # SIGKILL may be near: what has no answer by now is refused
+        self.driver.tell(Shutdown())  # SIGKILL may be near: refuses every call that is still unanswered
         for connection in list(self.front.connections):
             connection.end("leaving")
         self.legs.leave()
         self.channel.leave()
-        self.part(self.clock.now_us() + 200_000, done)
+        self.wait_for_connections(self.clock.now_us() + 200_000, on_stopped)
 
-    def part(self, until: int, done: Callable[[], None]) -> None:
-        """What was written last has still to go out."""
-        if self.front.connections and self.clock.now_us() < until:
-            self.clock.callLater(0.01, self.part, until, done)
+    def wait_for_connections(self, deadline_us: int, on_stopped: Callable[[], None]) -> None:
+        """Leaves the caller connections time to send their last output, until `deadline_us` at most."""
+        if self.front.connections and self.clock.now_us() < deadline_us:
+            self.clock.callLater(0.01, self.wait_for_connections, deadline_us, on_stopped)
         else:
-            done()
+            on_stopped()
+
 
+def load_configurations() -> tuple[Config | None, sip_settings.SipConfig | None]:
+    """The configurations of the platform node and of the SIP node, None for one that does not run.
 
-def configured() -> tuple[Config | None, sip_settings.SipConfig | None]:
+    EDGE_CONFIG may be unset only if the SIP front is enabled. EDGE_LISTEN, if set, must agree with `listen`
+    in EDGE_CONFIG's file. Raises ConfigError.
+    """
     path = Path(os.environ.get("CHUTEFORK_SIP") or Path(__file__).parent.parent / "deploy" / "sip.toml")
     sip_config = sip_settings.load(path)
     if sip_config is not None and "EDGE_CONFIG" not in os.environ:
         return None, sip_config
     config = load(os.environ.get("EDGE_CONFIG", ""))
-    told = os.environ.get("EDGE_LISTEN")
-    if told is not None and address_of(told, "EDGE_LISTEN") != config.listen:
+    listen = os.environ.get("EDGE_LISTEN")
+    if listen is not None and address_of(listen, "EDGE_LISTEN") != config.listen:
         raise ConfigError("EDGE_LISTEN: differs from listen of EDGE_CONFIG")
     return config, sip_config
 
 
 def main() -> int:
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # harmless until the configuration is in force
+    """Runs until SIGTERM or SIGINT. Exit code 2: invalid configuration; 1: the start failed; 0: otherwise."""
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # by default it would end the program during start-up
     try:
-        config, sip_config = configured()
-    except ConfigError as fault:
-        print(f"chutefork: {fault}", file=sys.stderr)
+        config, sip_config = load_configurations()
+    except ConfigError as error:
+        print(f"chutefork: {error}", file=sys.stderr)
         return 2
     globalLogBeginner.beginLoggingTo([log_failure], redirectStandardIO=False, discardBuffer=True)
     clock = install()
-    parts: list[Platform | SipNode] = []
+    nodes: list[PlatformNode | SipNode] = []
     try:
         if config is not None:
-            parts.append(Platform(config, clock))
+            nodes.append(PlatformNode(config, clock))
         if sip_config is not None:
-            parts.append(SipNode(sip_config, clock))
-        for part in parts:
-            part.start()
-    except Exception as fault:
-        print(f"chutefork: {type(fault).__name__}: {fault}", file=sys.stderr)
+            nodes.append(SipNode(sip_config, clock))
+        for node in nodes:
+            node.start()
+    except Exception as error:
+        print(f"chutefork: {type(error).__name__}: {error}", file=sys.stderr)
         return 1
-    leaving: list[Platform | SipNode] = []
+    stopping: list[PlatformNode | SipNode] = []
 
-    def done(part: Platform | SipNode) -> None:
-        leaving.remove(part)
-        if not leaving:
+    def on_stopped(node: PlatformNode | SipNode) -> None:
+        stopping.remove(node)
+        if not stopping:
             clock.stop()
 
     def terminate() -> None:
-        if leaving:
+        if stopping:
             return
         log("leaving cause=signal")
-        leaving.extend(parts)
-        for part in parts:
-            part.terminate(lambda part=part: done(part))
+        stopping.extend(nodes)
+        for node in nodes:
+            node.terminate(lambda node=node: on_stopped(node))
 
     def reload() -> None:
-        for part in parts:
-            if not leaving and isinstance(part, Platform):
-                part.reload()
+        for node in nodes:
+            if not stopping and isinstance(node, PlatformNode):
+                node.reload()
 
     gc.freeze()
     clock.callWhenRunning(signal.signal, signal.SIGHUP, lambda *_: clock.callFromThread(reload))
-    for number in (signal.SIGTERM, signal.SIGINT):
-        clock.callWhenRunning(signal.signal, number, lambda *_: clock.callFromThread(terminate))
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        clock.callWhenRunning(signal.signal, signal_number, lambda *_: clock.callFromThread(terminate))
     clock.run()
     return 0
 
--- a/chutefork/config.py
+++ b/chutefork/config.py
@@ -1,4 +1,7 @@
-"""What the operator tells a call controller, read from its JSON; bad values are named by their key."""
+"""Reads the JSON configuration of a call controller and the exchange lists of its command channel.
+
+Every ConfigError names the key of the bad value.
+"""
 
 from __future__ import annotations
 
@@ -13,42 +16,48 @@
 
 
 class ConfigError(Exception):
-    """The configuration cannot be used; the text names the key."""
+    """An invalid configuration; the text starts with the path of the key."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """The configuration of the caller front, the exchange connections and the command channel."""
+
     name: str
     listen: tuple[str, int]
-    channel: str
-    cursor: int
-    known: list
+    channel: str  # host:port of the command channel
+    cursor: int  # the command channel is polled from this number on
+    known: list  # commands to apply at start, in the command channel's form
     settings: api.Settings
-    class_names: tuple[str, ...]
-    tenant_names: tuple[str, ...]
+    class_names: tuple[str, ...]  # in the order of settings.classes
+    tenant_names: tuple[str, ...]  # in the order of settings.tenants
     connect_timeout_s: float
-    deadline_s: float
+    deadline_s: float  # the longest of all classes
     idle_close_s: float
     sockets: int
     memory_mb: float
 
 
 class Node:
-    """A JSON object that names the path of whatever is missing or of the wrong kind."""
+    """A JSON or TOML object with typed access to its members.
+
+    A member that is missing and has no default, or has the wrong type, raises ConfigError with its path.
+    """
 
     def __init__(self, value: object, path: str = "") -> None:
         if not isinstance(value, dict):
-            raise ConfigError(f"{path or 'configuration'}: an object is needed")
+            raise ConfigError(f"{path or 'configuration'}: must be an object")
         self.value = value
         self.path = path
 
-    def _at(self, key: str) -> str:
+    def _path_to(self, key: str) -> str:
         return f"{self.path}.{key}" if self.path else key
 
-    def get(self, key: str, kinds: type | tuple[type, ...], default: object = None) -> object:
+    def get(self, key: str, types: type | tuple[type, ...], default: object = None) -> object:
+        """The member, of one of the types; a boolean does not count as a number."""
         value = self.value.get(key, default)
-        if value is None or not isinstance(value, kinds) or (isinstance(value, bool) and kinds is not bool):
-            raise ConfigError(f"{self._at(key)}: missing or not usable, is {value!r}")
+        if value is None or not isinstance(value, types) or (isinstance(value, bool) and types is not bool):
+            raise ConfigError(f"{self._path_to(key)}: missing or of the wrong type, is {value!r}")
         return value
 
     def number(self, key: str, default: float | None = None) -> float:
@@ -61,58 +70,64 @@
         return self.get(key, bool)
 
     def node(self, key: str) -> Node:
-        return Node(self.value.get(key), self._at(key))
+        return Node(self.value.get(key), self._path_to(key))
 
     def nodes(self, key: str) -> list[Node]:
-        return [Node(item, f"{self._at(key)}[{place}]") for place, item in enumerate(self.get(key, list))]
+        return [
+            Node(item, f"{self._path_to(key)}[{index}]") for index, item in enumerate(self.get(key, list))
+        ]
 
     def numbers(self, key: str) -> list[float]:
         value = self.get(key, list)
         if not all(isinstance(item, int | float) and not isinstance(item, bool) for item in value):
-            raise ConfigError(f"{self._at(key)}: numbers are needed")
+            raise ConfigError(f"{self._path_to(key)}: must be a list of numbers")
         return value
 
 
 def address_of(text: str, key: str) -> tuple[str, int]:
+    """Splits `host:port`; port 0 is allowed. Otherwise raises ConfigError, naming `key`."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) < 65536:
-        raise ConfigError(f"{key}: not an address with a port: {text!r}")
+        raise ConfigError(f"{key}: not of the form host:port: {text!r}")
     return host, int(port)
 
 
 def settings_of(node: Node, seed: int) -> tuple[api.Settings, tuple[str, ...], tuple[str, ...]]:
-    family, limits, rules = node.node("family_info"), node.node("limits"), node.node("rules")
+    """The controller's settings, and the names of the call classes and of the tenants in index order."""
+    family_info, limits, rules = node.node("family_info"), node.node("limits"), node.node("rules")
     services = node.nodes("services")
-    widths, lengths = family.numbers("widths"), family.numbers("call_length_s")
-    for key, values in (("widths", widths), ("call_length_s", lengths)):
+    widths, call_lengths_s = family_info.numbers("widths"), family_info.numbers("call_length_s")
+    for key, values in (("widths", widths), ("call_length_s", call_lengths_s)):
         if len(values) != len(services):
-            raise ConfigError(f"settings.family_info.{key}: {len(values)} values, {len(services)} classes")
+            raise ConfigError(
+                f"settings.family_info.{key}: {len(values)} values for {len(services)} services"
+            )
     classes = tuple(
         api.CallClass(
-            aim_s=item.number("target_s"),
-            deadline_s=item.number("deadline_s"),
-            worth=item.number("worth"),
-            late_worth_share=item.number("late_worth"),
-            width_circuits=int(widths[place]),
-            length_s=lengths[place],
+            aim_s=service.number("target_s"),
+            deadline_s=service.number("deadline_s"),
+            worth=service.number("worth"),
+            late_worth_share=service.number("late_worth"),
+            width_circuits=int(widths[index]),
+            length_s=call_lengths_s[index],
             pools=(),
         )
-        for place, item in enumerate(services)
+        for index, service in enumerate(services)
     )
     accounts = node.nodes("accounts") if "accounts" in node.value else []
-    if family.text("network_form") != "network":
-        raise ConfigError("settings.family_info.network_form: only 'network' is served")
+    if family_info.text("network_form") != "network":
+        raise ConfigError("settings.family_info.network_form: only 'network' is supported")
     try:
         settings = api.Settings(
             seed=seed,
-            own_number=int(family.number("self_no")),
+            own_number=int(family_info.number("self_no")),
             controllers=int(node.number("balancers")),
             pools_form=False,
             classes=classes,
-            tenants=tuple(api.Tenant(item.number("quota_per_s")) for item in accounts),
+            tenants=tuple(api.Tenant(account.number("quota_per_s")) for account in accounts),
             over_share_worth=node.number("over_share_worth"),
-            release_s=family.number("release_s"),
-            resend_s=family.number("retransmit_s"),
+            release_s=family_info.number("release_s"),
+            resend_s=family_info.number("retransmit_s"),
             max_attempts=int(limits.number("max_attempts")),
             probes_allowed=limits.flag("probes"),
             messages_allowed=limits.flag("peers"),
@@ -127,66 +142,72 @@
             fall_s=rules.number("fall_s"),
             tick_s=node.number("tick_s"),
         )
-    except ValueError as fault:
-        raise ConfigError(f"settings: {fault}") from None
-    names = tuple(item.text("name") for item in services)
-    return settings, names, tuple(item.text("name") for item in accounts)
+    except ValueError as error:
+        raise ConfigError(f"settings: {error}") from None
+    class_names = tuple(service.text("name") for service in services)
+    return settings, class_names, tuple(account.text("name") for account in accounts)
 
 
 def parse(text: str) -> Config:
+    """Raises ConfigError, or what int() and the JSON parser raise for infinite numbers and deep nesting."""
     try:
         root = Node(json.loads(text))
-    except ValueError as fault:
-        raise ConfigError(f"configuration: not JSON: {fault}") from None
+    except ValueError as error:
+        raise ConfigError(f"configuration: not JSON: {error}") from None
     seed_text = root.text("seed")
     try:
         seed = int(seed_text, 16)
     except ValueError:
         raise ConfigError(f"seed: not a hexadecimal number: {seed_text!r}") from None
-    inner = root.node("settings")
-    settings, class_names, tenant_names = settings_of(inner, seed)
-    known = root.node("known")
+    settings_node = root.node("settings")
+    settings, class_names, tenant_names = settings_of(settings_node, seed)
+    known_exchanges = root.node("known")
     limits = root.node("limits") if "limits" in root.value else Node({}, "limits")
     for key in ("sockets", "memory_mb"):
         if not limits.number(key, 192) > 0:
-            raise ConfigError(f"limits.{key}: not a limit")
+            raise ConfigError(f"limits.{key}: must be above 0")
     channel = root.text("channel")
     address_of(channel, "channel")
     return Config(
         name=root.text("name"),
         listen=address_of(root.text("listen"), "listen"),
         channel=channel,
-        cursor=int(known.number("cursor")),
-        known=known.get("cmds", list),
+        cursor=int(known_exchanges.number("cursor")),
+        known=known_exchanges.get("cmds", list),
         settings=settings,
         class_names=class_names,
         tenant_names=tenant_names,
-        connect_timeout_s=inner.node("limits").number("connect_timeout_s"),
-        deadline_s=max(item.deadline_s for item in settings.classes),
-        idle_close_s=inner.node("limits").number("idle_close_s", 600.0),
+        connect_timeout_s=settings_node.node("limits").number("connect_timeout_s"),
+        deadline_s=max(call_class.deadline_s for call_class in settings.classes),
+        idle_close_s=settings_node.node("limits").number("idle_close_s", 600.0),
         sockets=int(limits.number("sockets", 1024)),
         memory_mb=limits.number("memory_mb", 192),
     )
 
 
 def load(path: str) -> Config:
+    """Reads the file that EDGE_CONFIG names. Raises ConfigError if it cannot be read or is invalid."""
     try:
         return parse(Path(path).read_text(encoding="utf-8"))
-    except OSError as fault:
-        raise ConfigError(f"EDGE_CONFIG: {path!r} cannot be read: {fault.strerror}") from None
-    except (ValueError, OverflowError, RecursionError) as fault:  # not UTF-8, a number like 1e999
-        raise ConfigError(f"configuration: not usable: {type(fault).__name__}: {fault}") from None
+    except OSError as error:
+        raise ConfigError(f"EDGE_CONFIG: {path!r} cannot be read: {error.strerror}") from None
+    except (ValueError, OverflowError, RecursionError) as error:  # not UTF-8, or a number like 1e999
+        raise ConfigError(f"configuration: invalid: {type(error).__name__}: {error}") from None
 
 
-STATES = {
+STATE_BY_STATUS = {
     "Ready": api.SwitchState.READY,
     "Terminating": api.SwitchState.DRAINING,
     "Gone": api.SwitchState.GONE,
 }
 
 
-def hubs_of(command: dict, place: UnixPlace) -> messages.HubsListed | None:
-    """One event of the command channel as the core's; None where it is of a kind not known here."""
+def hub_list_event(command: dict, unix_clock: UnixPlace) -> messages.HubsListed | None:
+    """Converts a command of the command channel to an event for the reducer.
+
+    None for a command of another kind, and for one without a list of endpoints, which is logged. Endpoints
+    that cannot be read are logged and left out.
+    """
     nodes = command.get("nodes") if isinstance(command, dict) else ()
     if nodes is None:
         return None
@@ -201,12 +222,12 @@
                 messages.Hub(
                     str(item["name"]),
                     int(item["group"]),
-                    STATES[item["status"]],
+                    STATE_BY_STATUS[item["status"]],
                     item["address"],
-                    place.monotonic_us(float(item.get("since_ms", 0))),
+                    unix_clock.monotonic_us(float(item.get("since_ms", 0))),
                 )
             )
-        except (ConfigError, ValueError, KeyError, TypeError, AttributeError, OverflowError) as fault:
-            log(f"bad-endpoint detail={f'{type(fault).__name__}: {fault}'[:160]!r}")
+        except (ConfigError, ValueError, KeyError, TypeError, AttributeError, OverflowError) as error:
+            log(f"bad-endpoint detail={f'{type(error).__name__}: {error}'[:160]!r}")
     kind = api.ListKind.COMPLETE if nodes.get("snapshot") else api.ListKind.CHANGES
     return messages.HubsListed(kind, tuple(hubs))
--- a/chutefork/consul.py
+++ b/chutefork/consul.py
@@ -1,4 +1,8 @@
-"""Membership from Consul's catalogue and health API, by blocking queries, and this program's own entry."""
+"""Hub membership from Consul's catalogue and health endpoints, and this program's own service registration.
+
+Membership is followed with blocking queries. Every request goes over a keepalive connection that is made
+again, with exponential backoff, whenever it fails.
+"""
 
 from __future__ import annotations
 
@@ -17,14 +21,21 @@
     from .net.clock import TurnReactor, UnixPlace
     from .sip.settings import ConsulConfig
 
-RETRY_S = (0.1, 10.0)  # the first gap after a failure, and the longest: it doubles, with chance on top
-SLACK_S = 5.0  # over the wait asked for, to which Consul adds up to a sixteenth
-MAINTENANCE = ("_node_maintenance", "_service_maintenance:")
-STATES = {"passing": SwitchState.READY, "warning": SwitchState.DRAINING, "critical": SwitchState.GONE}
+RETRY_DELAY_RANGE_S = (0.1, 10.0)  # first and longest, before jitter; doubles with each failure
+RESPONSE_TIMEOUT_S = 5.0  # for a blocking query, on top of its wait, to which Consul adds up to 1/16
+MAINTENANCE_CHECK_PREFIXES = ("_node_maintenance", "_service_maintenance:")
+STATE_BY_CHECK_STATUS = {
+    "passing": SwitchState.READY,
+    "warning": SwitchState.DRAINING,
+    "critical": SwitchState.GONE,
+}
+
 
+class ConsulClient:
+    """Base of the Consul clients: one HTTP connection, made again with exponential backoff when it fails.
 
-class Asking:
-    """A connection that is made anew after each failure, with growing gaps."""
+    `HttpStream` calls `made`, `answered` and `lost`; subclasses send the next request in `ask`.
+    """
 
     role = "consul"
 
@@ -33,11 +44,12 @@
         self.address = config.address
         self.clock = clock
         self.stream: HttpStream | None = None
-        self.tries = 0
+        self.failures = 0  # since the last success
         self.stopped = False
         self.headers = (("X-Consul-Token", config.token),) if config.token else ()
 
     def start(self) -> None:
+        """Connects, unless `stopped` was set while a retry was waiting."""
         if not self.stopped:
             connect(self, self.clock)
 
@@ -46,51 +58,63 @@
         self.ask()
 
     def ask(self) -> None:
+        """Sends the next request on `stream`."""
         raise NotImplementedError
 
     def lost(self) -> None:
         self.stream = None
-        self.clock.callLater(self.gap_s(), self.start)
+        self.clock.callLater(self.next_retry_delay_s(), self.start)
+
+    def next_retry_delay_s(self) -> float:
+        """Counts a failure and returns the backoff after it, with up to 50 % of random jitter on top."""
+        self.failures += 1
+        return min(
+            RETRY_DELAY_RANGE_S[0] * 2 ** min(self.failures - 1, 16), RETRY_DELAY_RANGE_S[1]
+        ) * random.uniform(1.0, 1.5)
 
-    def gap_s(self) -> float:
-        self.tries += 1
-        return min(RETRY_S[0] * 2 ** min(self.tries - 1, 16), RETRY_S[1]) * random.uniform(1.0, 1.5)
 
+class BlockingQuery(ConsulClient):
+    """Repeats one blocking query for as long as the program runs.
 
-class Watch(Asking):
-    """One blocking query, asked again and again; `told` gets each new answer."""
+    `on_result` gets the decoded JSON list whenever Consul's index has changed.
+    """
 
     def __init__(
-        self, config: ConsulConfig, clock: TurnReactor, path: str, told: Callable[[list], None]
+        self, config: ConsulConfig, clock: TurnReactor, path: str, on_result: Callable[[list], None]
     ) -> None:
         super().__init__(config, clock)
         self.path = path
-        self.told = told
+        self.on_result = on_result
         self.index = 0
 
     def ask(self) -> None:
         path = f"{self.path}?index={self.index}&wait={self.config.wait_s:g}s"
-        self.stream.ask("GET", path, self.config.wait_s * 17 / 16 + SLACK_S, headers=self.headers)
+        self.stream.ask("GET", path, self.config.wait_s * 17 / 16 + RESPONSE_TIMEOUT_S, headers=self.headers)
 
     def answered(self, status: int, headers: dict[str, str], body: bytes) -> None:
+        """Raises ValueError, KeyError or TypeError for an invalid response, which ends the connection."""
         if status != 200:
             raise ValueError(f"status {status}")
-        index, answer = int(headers["x-consul-index"]), json.loads(body)
-        if not isinstance(answer, list):
-            raise TypeError("a list is needed")
-        if index <= 0:  # it would be asked for again without a pause
-            raise ValueError(f"X-Consul-Index {index}")
+        index, result = int(headers["x-consul-index"]), json.loads(body)
+        if not isinstance(result, list):
+            raise TypeError("not a JSON list")
+        if index <= 0:  # a query with index 0 does not block: it would be repeated without a pause
+            raise ValueError(f"X-Consul-Index must be above 0, is {index}")
         if index != self.index:
-            self.told(answer)
-        # An index that goes back means that Consul began anew: the next question must not wait on the old.
+            self.on_result(result)
+        # An index that goes backwards means that Consul has lost its state, as by a restart. A query with the
+        # old index would block until the new one passed it, so the next query starts from 0.
         self.index = index if index >= self.index else 0
-        self.tries = 0
+        self.failures = 0
         if self.stream is not None and not self.stream.code:
             self.ask()
 
 
-class Registration(Asking):
-    """This program's own service with a TTL check; the check is passed well before it lapses."""
+class Registration(ConsulClient):
+    """Registers this program as a Consul service with a TTL check, renewed every third of the TTL.
+
+    `listen` and `meta` go into the service entry. While `is_ready` returns False the check is set to warning.
+    """
 
     def __init__(
         self,
@@ -99,27 +123,27 @@
         name: str,
         listen: tuple[str, int],
         meta: dict[str, str],
-        ready: Callable[[], bool],
+        is_ready: Callable[[], bool],
     ) -> None:
         super().__init__(config, clock)
         self.id = f"{config.register}-{name}"
         self.listen = listen
         self.meta = meta
-        self.ready = ready
+        self.is_ready = is_ready
         self.registered = False
-        self.leaving = False
-        self.step = ""  # the question that is out
+        self.deregistering = False
+        self.pending_request = ""  # sent and unanswered: "register", "check", "leave" or none
 
     def ask(self) -> None:
-        """The next step: registered first, then passed each third of the TTL, taken back at the end."""
-        if self.stream is None or self.stream.code or self.step:
+        """Sends the next request unless one is pending: register, then check renewals, deregister at exit."""
+        if self.stream is None or self.stream.code or self.pending_request:
             return
         body = b""
-        if self.leaving:
-            self.step = "leave"
+        if self.deregistering:
+            self.pending_request = "leave"
             path = f"/v1/agent/service/deregister/{quote(self.id, safe='')}"
         elif not self.registered:
-            self.step = "register"
+            self.pending_request = "register"
             path = "/v1/agent/service/register"
             ttl = f"{self.config.ttl_s:g}s"
             body = json.dumps(
@@ -137,124 +161,133 @@
                 }
             ).encode()
         else:
-            self.step = "check"
-            result = "pass" if self.ready() else "warn"
+            self.pending_request = "check"
+            result = "pass" if self.is_ready() else "warn"
             path = f"/v1/agent/check/{result}/{quote(f'service:{self.id}', safe='')}"
-        self.stream.ask("PUT", path, SLACK_S, body, self.headers)
+        self.stream.ask("PUT", path, RESPONSE_TIMEOUT_S, body, self.headers)
 
     def answered(self, status: int, headers: dict[str, str], body: bytes) -> None:
-        step, self.step = self.step, ""
-        if step == "leave":
+        request, self.pending_request = self.pending_request, ""
+        if request == "leave":
             self.stopped = True
             self.stream.end("leaving")
             return
-        if step == "register" and status != 200:
+        if request == "register" and status != 200:
             raise ValueError(f"status {status}")
         self.registered = status == 200
-        if self.leaving or step == "register":
+        if self.deregistering or request == "register":
             self.ask()
         elif status == 200:
-            self.tries = 0
+            self.failures = 0
             self.clock.callLater(self.config.ttl_s / 3, self.ask)
-        else:  # the agent began anew and knows nothing of this program; not asked again without a pause
+        else:  # the agent has restarted and lost the registration; wait, so as not to repeat without a pause
             log(f"note consul: check refused with {status}, registering again")
-            self.clock.callLater(self.gap_s(), self.ask)
+            self.clock.callLater(self.next_retry_delay_s(), self.ask)
 
     def lost(self) -> None:
-        self.step = ""
+        self.pending_request = ""
         super().lost()
 
     def leave(self) -> None:
-        self.leaving = True
+        """Deregisters the service, once no other request is pending, and then closes the connection."""
+        self.deregistering = True
         self.ask()
 
 
 class ConsulMembership:
-    """Hubs are the instances that the catalogue lists; their states are what their health says."""
+    """Joins the instances in Consul's catalogue with their health into complete hub lists.
+
+    `on_hub_list` gets an event for the reducer whenever the joined list differs from the last one.
+    `unix_clock` converts the start times in the instances' metadata.
+    """
 
     def __init__(
         self,
         config: ConsulConfig,
         clock: TurnReactor,
-        place: UnixPlace,
-        told: Callable[[messages.HubsListed], None],
+        unix_clock: UnixPlace,
+        on_hub_list: Callable[[messages.HubsListed], None],
     ) -> None:
         name = quote(config.service, safe="")
-        self.place = place
-        self.told = told
-        self.catalogue: dict[str, messages.Hub] | None = None
-        self.states: dict[str, SwitchState] | None = None
-        self.listed: tuple[messages.Hub, ...] | None = None
-        self.watches = (
-            Watch(config, clock, f"/v1/catalog/service/{name}", self.on_catalogue),
-            Watch(config, clock, f"/v1/health/service/{name}", self.on_health),
+        self.unix_clock = unix_clock
+        self.on_hub_list = on_hub_list
+        self.hubs_by_id: dict[str, messages.Hub] | None = None
+        self.states_by_id: dict[str, SwitchState] | None = None
+        self.published_hubs: tuple[messages.Hub, ...] | None = None
+        self.queries = (
+            BlockingQuery(config, clock, f"/v1/catalog/service/{name}", self.on_catalogue),
+            BlockingQuery(config, clock, f"/v1/health/service/{name}", self.on_health),
         )
 
     def start(self) -> None:
-        for watch in self.watches:
-            watch.start()
+        for query in self.queries:
+            query.start()
 
     def stop(self) -> None:
-        for watch in self.watches:
-            watch.stopped = True
-            if watch.stream is not None:
-                watch.stream.end("leaving")
+        for query in self.queries:
+            query.stopped = True
+            if query.stream is not None:
+                query.stream.end("leaving")
 
-    def on_catalogue(self, answer: list) -> None:
+    def on_catalogue(self, result: list) -> None:
         hubs = {}
-        for item in answer:
+        for item in result:
             try:
-                hub = self.hub_of(item)
+                hub = self.parse_hub(item)
                 hubs[hub.name] = hub
-            except (ValueError, KeyError, TypeError, AttributeError, OverflowError) as fault:
-                log(f"bad-endpoint detail={f'{type(fault).__name__}: {fault}'[:160]!r}")
-        self.catalogue = hubs
-        self.join()
+            except (ValueError, KeyError, TypeError, AttributeError, OverflowError) as error:
+                log(f"bad-endpoint detail={f'{type(error).__name__}: {error}'[:160]!r}")
+        self.hubs_by_id = hubs
+        self.publish_if_changed()
+
+    def parse_hub(self, item: dict) -> messages.Hub:
+        """A hub from a catalogue entry, in state READY; its address is `host:port`, with `;tcp` for TCP.
 
-    def hub_of(self, item: dict) -> messages.Hub:
+        An unusable entry raises ValueError, KeyError, TypeError, AttributeError or OverflowError.
+        """
         meta = item.get("ServiceMeta") or {}
         host, port = item.get("ServiceAddress") or item["Address"], int(item["ServicePort"])
         if not 0 < port < 65536:
-            raise ValueError(f"port {port}")
+            raise ValueError(f"port out of range: {port}")
         transport = str(meta.get("transport", "udp")).lower()
         if transport not in ("udp", "tcp"):
-            raise ValueError(f"transport {transport!r}")
+            raise ValueError(f"transport must be udp or tcp, is {transport!r}")
         address = f"{host}:{port}" + (";tcp" if transport == "tcp" else "")
-        started_at = self.place.monotonic_us(float(meta.get("started_ms", 0)))
+        started_at = self.unix_clock.monotonic_us(float(meta.get("started_ms", 0)))
         return messages.Hub(
             str(item["ServiceID"]), int(meta["number"]), SwitchState.READY, address, started_at
         )
 
-    def on_health(self, answer: list) -> None:
+    def on_health(self, result: list) -> None:
         states = {}
-        for item in answer:
+        for item in result:
             try:
-                states[str(item["Service"]["ID"])] = self.state_of(item["Checks"])
-            except (KeyError, TypeError, AttributeError) as fault:
-                log(f"bad-endpoint detail={f'{type(fault).__name__}: {fault}'[:160]!r}")
-        self.states = states
-        self.join()
+                states[str(item["Service"]["ID"])] = self.state_from_checks(item["Checks"])
+            except (KeyError, TypeError, AttributeError) as error:
+                log(f"bad-endpoint detail={f'{type(error).__name__}: {error}'[:160]!r}")
+        self.states_by_id = states
+        self.publish_if_changed()
 
     @staticmethod
-    def state_of(checks: list[dict]) -> SwitchState:
-        """The worst check counts; maintenance is a drain, though Consul calls it critical."""
-        if any(str(check["CheckID"]).startswith(MAINTENANCE) for check in checks):
+    def state_from_checks(checks: list[dict]) -> SwitchState:
+        """The worst check decides. Maintenance mode drains the hub, though Consul reports it as critical."""
+        if any(str(check["CheckID"]).startswith(MAINTENANCE_CHECK_PREFIXES) for check in checks):
             return SwitchState.DRAINING
-        states = {STATES.get(check["Status"], SwitchState.DRAINING) for check in checks}
+        states = {STATE_BY_CHECK_STATUS.get(check["Status"], SwitchState.DRAINING) for check in checks}
         for state in (SwitchState.GONE, SwitchState.DRAINING):
             if state in states:
                 return state
         return SwitchState.READY
 
-    def join(self) -> None:
-        """Nothing is told before both have answered; while Consul is away the last list holds."""
-        if self.catalogue is None or self.states is None:
+    def publish_if_changed(self) -> None:
+        """Waits until both queries have been answered. While Consul is unreachable, the last list holds."""
+        if self.hubs_by_id is None or self.states_by_id is None:
             return
         hubs = tuple(
-            messages.Hub(hub.name, hub.number, self.states[name], hub.address, hub.started_at)
-            for name, hub in sorted(self.catalogue.items())
-            if self.states.get(name, SwitchState.GONE) is not SwitchState.GONE
+            messages.Hub(hub.name, hub.number, self.states_by_id[name], hub.address, hub.started_at)
+            for name, hub in sorted(self.hubs_by_id.items())
+            if self.states_by_id.get(name, SwitchState.GONE) is not SwitchState.GONE
         )
-        if hubs != self.listed:
-            self.listed = hubs
-            self.told(messages.HubsListed(ListKind.COMPLETE, hubs))
+        if hubs != self.published_hubs:
+            self.published_hubs = hubs
+            self.on_hub_list(messages.HubsListed(ListKind.COMPLETE, hubs))
