--- a/chutefork/simulator_adapter.py
+++ b/chutefork/simulator_adapter.py
@@ -1,7 +1,10 @@
-"""Carries the simulator's wire to call controllers and their actions back: framing and translation only.
+"""Connects the simulator's binary protocol on standard input and output to call controllers.
 
-Run as `python -m chutefork.simulator_adapter`; one `CallController` per instance, nothing shared between
-them.
+Run as `python -m chutefork.simulator_adapter`. The adapter only decodes events and encodes actions. Each
+instance that the simulator starts has a `CallController` of its own; nothing is shared between instances.
+
+Input is a sequence of batches, each a header and its records; each batch is answered by one reply with the
+records of the resulting actions. A record starts with its code, one byte; all numbers are little-endian.
 """
 
 from __future__ import annotations
@@ -13,30 +16,36 @@
 from . import interface as api
 from .call_controller import CallController
 
-HEADER = struct.Struct("<IdII")
-REPLY = struct.Struct("<II")
-ENTRY = struct.Struct("<IHBHBfd")
-BOOT = struct.Struct("<IQI")
-FLOWING = struct.Struct("<IQBId")
-LIST = struct.Struct("<IBHI")
-ECHO = struct.Struct("<IIHdB")
-WITHDRAWN = struct.Struct("<IQ")
-PEER = struct.Struct("<IIH")
-DUE = struct.Struct("<II")
-STOP = struct.Struct("<I")
-SHEET = struct.Struct("<HI")
-ENDED = struct.Struct("<IQBIHdBIB")
+# Input records: the layout follows the code, and load values (32-bit floats), texts, payloads or list entries
+# follow the layout. Output records: the layout begins with the code.
+
+# batch number, time in s, length of the rest in bytes (record count and records), record count
+BATCH_HEADER = struct.Struct("<IdII")
+REPLY_HEADER = struct.Struct("<II")  # batch number, length of the records
+LIST_ENTRY = struct.Struct("<IHBHBfd")  # switch, zone, kind, number, state, share, start in s
+BOOT = struct.Struct("<IQI")  # instance, seed, length of the parameters
+CALL_ESTABLISHED = struct.Struct("<IQBId")  # instance, call, attempt, switch, elapsed s
+SWITCH_LIST = struct.Struct("<IBHI")  # instance, list kind, list number, version
+LOAD_REPORT = struct.Struct("<IIHdB")  # instance, switch, result, elapsed s, count of load values
+WITHDRAWN = struct.Struct("<IQ")  # instance, call
+PEER_MESSAGE = struct.Struct("<IIH")  # instance, sender, length of the payload
+DUE = struct.Struct("<II")  # instance, token
+INSTANCE_ID = struct.Struct("<I")  # first field of most input records
+LIST_HEADER = struct.Struct("<HI")  # list number, count of entries
+# instance, call, attempt, switch, outcome, elapsed s, whether the call is over, reason, count of load values
+ATTEMPT_ENDED = struct.Struct("<IQBIHdBIB")
+# instance, call, circuits, time left in s, tenant, number called, work, flags, destination, class, advice
 SUBMIT = struct.Struct("<IQfdHQdBfBf")
-SUBMIT_TO = struct.Struct("<BIQId")
-TEXT = struct.Struct("<BIH")
-REMIND = struct.Struct("<BIdI")
-SHED = struct.Struct("<BIQd")
-FAIL = struct.Struct("<BIQ")
-INSPECT = struct.Struct("<BII")
-TELL = struct.Struct("<BIHH")
-WATCH = struct.Struct("<BIB")
-BAIL_OUT = 87
-EVERY_PEER = 0xFFFF
+SUBMIT_TO = struct.Struct("<BIQId")  # code, instance, call, switch, time of abandonment in s
+TEXT_HEADER = struct.Struct("<BIH")  # code, instance, length of the text
+REMIND = struct.Struct("<BIdI")  # code, instance, delay in s, token
+SHED = struct.Struct("<BIQd")  # code, instance, call, hold-off in s
+ERROR = struct.Struct("<BIQ")  # code, instance, call
+PROBE = struct.Struct("<BII")  # code, instance, switch
+SEND_PEER_MESSAGE = struct.Struct("<BIHH")  # code, instance, receiver, length of the payload
+SUBSCRIBE = struct.Struct("<BIB")  # code, instance, whether to subscribe
+INSTANCE_FAILURE_CODE = 87
+ALL_PEERS = 0xFFFF
 
 OUTCOMES = {
     0: api.Outcome.ERROR,
@@ -55,14 +64,15 @@
     3: api.Reason.PROCESSOR_FULL,
     4: api.Reason.LINES_BUSY,
 }
-STATES = {0: api.SwitchState.GONE, 1: api.SwitchState.READY, 2: api.SwitchState.DRAINING}
-LISTS = {
+SWITCH_STATES = {0: api.SwitchState.GONE, 1: api.SwitchState.READY, 2: api.SwitchState.DRAINING}
+LIST_KINDS = {
     0: api.ListKind.CHANGES,
     1: api.ListKind.REMEMBERED,
     2: api.ListKind.FAILED,
     3: api.ListKind.COMPLETE,
 }
-FIELDS = {
+# Name of a value in load reports -> field of `Load`.
+LOAD_FIELDS = {
     "idle": "free_circuits",
     "circuits": "group_circuits",
     "active": "active",
@@ -74,315 +84,385 @@
 }
 
 
-class WireError(Exception):
-    """The input is not what the wire allows."""
+class ProtocolError(Exception):
+    """The input violates the simulator's protocol."""
 
 
-class Pairs:
-    """The `path=value` lines of a boot record."""
+class BootParameters:
+    """The `path=value` lines of a boot record. Lookups raise ValueError with the path first in the text."""
 
     def __init__(self, text: str) -> None:
         self.values = dict(line.split("=", 1) for line in text.splitlines() if "=" in line)
 
-    def text(self, key: str) -> str:
-        if key not in self.values:
-            raise ValueError(f"{key}: missing")
-        return self.values[key]
+    def text(self, path: str) -> str:
+        if path not in self.values:
+            raise ValueError(f"{path}: missing")
+        return self.values[path]
 
-    def number(self, key: str) -> float:
-        text = self.text(key)
+    def number(self, path: str) -> float:
+        text = self.text(path)
         try:
             return int(text) if text.lstrip("-").isdigit() else float(text)
         except ValueError:
-            raise ValueError(f"{key}: not a number: {text!r}") from None
+            raise ValueError(f"{path}: not a number: {text!r}") from None
 
-    def flag(self, key: str) -> bool:
-        return self.text(key) == "true"
+    def flag(self, path: str) -> bool:
+        return self.text(path) == "true"
 
-    def count(self, key: str) -> int:
-        return int(self.number(key + ".count")) if key + ".count" in self.values else 0
+    def count(self, path: str) -> int:
+        """The number of items of an array; 0 if none is given."""
+        return int(self.number(path + ".count")) if path + ".count" in self.values else 0
 
-    def numbers(self, key: str) -> list[float]:
+    def numbers(self, path: str) -> list[float]:
+        """The numbers of a comma-separated list."""
         try:
-            return [float(part) for part in self.text(key).split(",") if part]
+            return [float(part) for part in self.text(path).split(",") if part]
         except ValueError:
-            raise ValueError(f"{key}: not a list of numbers: {self.values[key]!r}") from None
+            raise ValueError(f"{path}: not a list of numbers: {self.values[path]!r}") from None
 
 
-def settings_from(pairs: Pairs, seed: int) -> api.Settings:
-    names = pairs.count("services")
-    widths, lengths = pairs.numbers("family_info.widths"), pairs.numbers("family_info.call_length_s")
-    for key, values in (("family_info.widths", widths), ("family_info.call_length_s", lengths)):
-        if len(values) != names:
-            raise ValueError(f"{key}: {len(values)} values for {names} classes")
-    pools_form = pairs.text("family_info.network_form") == "skills"
+def parse_settings(parameters: BootParameters, seed: int) -> api.Settings:
+    """Raises ValueError, with the path or the field first in the text, for a missing or unusable value."""
+    class_count = parameters.count("services")
+    widths, lengths_s = (
+        parameters.numbers("family_info.widths"),
+        parameters.numbers("family_info.call_length_s"),
+    )
+    for path, values in (("family_info.widths", widths), ("family_info.call_length_s", lengths_s)):
+        if len(values) != class_count:
+            raise ValueError(f"{path}: {len(values)} values for {class_count} classes")
+    pools_form = parameters.text("family_info.network_form") == "skills"
     classes = []
-    for place in range(names):
-        path = f"services.{place}."
-        pools = pairs.numbers(f"family_info.pools_by_class.{place}") if pools_form else []
+    for index in range(class_count):
+        prefix = f"services.{index}."
+        pools = parameters.numbers(f"family_info.pools_by_class.{index}") if pools_form else []
         classes.append(
             api.CallClass(
-                aim_s=pairs.number(path + "target_s"),
-                deadline_s=pairs.number(path + "deadline_s"),
-                worth=pairs.number(path + "worth"),
-                late_worth_share=pairs.number(path + "late_worth"),
-                width_circuits=int(widths[place]),
-                length_s=lengths[place],
+                aim_s=parameters.number(prefix + "target_s"),
+                deadline_s=parameters.number(prefix + "deadline_s"),
+                worth=parameters.number(prefix + "worth"),
+                late_worth_share=parameters.number(prefix + "late_worth"),
+                width_circuits=int(widths[index]),
+                length_s=lengths_s[index],
                 pools=tuple(map(int, pools)),
             )
         )
     tenants = tuple(
-        api.Tenant(quota_per_s=pairs.number(f"accounts.{place}.quota_per_s"))
-        for place in range(pairs.count("accounts"))
+        api.Tenant(quota_per_s=parameters.number(f"accounts.{index}.quota_per_s"))
+        for index in range(parameters.count("accounts"))
     )
     return api.Settings(
         seed=seed,
-        own_number=int(pairs.number("family_info.self_no")),
-        controllers=int(pairs.number("balancers")),
+        own_number=int(parameters.number("family_info.self_no")),
+        controllers=int(parameters.number("balancers")),
         pools_form=pools_form,
         classes=tuple(classes),
         tenants=tenants,
-        over_share_worth=pairs.number("over_share_worth"),
-        release_s=pairs.number("family_info.release_s"),
-        resend_s=pairs.number("family_info.retransmit_s"),
-        max_attempts=int(pairs.number("limits.max_attempts")),
-        probes_allowed=pairs.flag("limits.probes"),
-        messages_allowed=pairs.flag("limits.peers"),
-        hold_off_allowed=pairs.flag("limits.retry_after"),
-        max_hold_off_s=pairs.number("limits.max_retry_after_s"),
-        list_on_request=pairs.text("membership_mode") == "ask",
-        ask_within_s=pairs.number("rules.ask_within_s"),
-        drain_grace_s=pairs.number("rules.stop_sending_within_s"),
-        cold_share=pairs.number("rules.cold_share"),
-        warm_up_s=pairs.number("rules.warm_up_s"),
-        tip_multiple=pairs.number("rules.tip_multiple"),
-        fall_s=pairs.number("rules.fall_s"),
-        tick_s=pairs.number("tick_s"),
+        over_share_worth=parameters.number("over_share_worth"),
+        release_s=parameters.number("family_info.release_s"),
+        resend_s=parameters.number("family_info.retransmit_s"),
+        max_attempts=int(parameters.number("limits.max_attempts")),
+        probes_allowed=parameters.flag("limits.probes"),
+        messages_allowed=parameters.flag("limits.peers"),
+        hold_off_allowed=parameters.flag("limits.retry_after"),
+        max_hold_off_s=parameters.number("limits.max_retry_after_s"),
+        list_on_request=parameters.text("membership_mode") == "ask",
+        ask_within_s=parameters.number("rules.ask_within_s"),
+        drain_grace_s=parameters.number("rules.stop_sending_within_s"),
+        cold_share=parameters.number("rules.cold_share"),
+        warm_up_s=parameters.number("rules.warm_up_s"),
+        tip_multiple=parameters.number("rules.tip_multiple"),
+        fall_s=parameters.number("rules.fall_s"),
+        tick_s=parameters.number("tick_s"),
     )
 
 
-class Instance:
-    def __init__(self, controller: CallController, names: list[str]) -> None:
+class ControllerInstance:
+    """A call controller, and the names of the load values that its switches report, in their order."""
+
+    def __init__(self, controller: CallController, load_names: list[str]) -> None:
         self.controller = controller
-        self.names = names
+        self.load_names = load_names
+
+    def parse_load(self, values: tuple[float, ...]) -> api.Load | None:
+        """Converts reported load values; negative ones and those without a field in `Load` are left out.
 
-    def load(self, values: tuple[float, ...]) -> api.Load | None:
-        told = {}
-        for name, value in zip(self.names, values, strict=False):
-            if name in FIELDS and value >= 0:
-                told[FIELDS[name]] = value / 1000 if name == "avg_ms" else value
-        return api.Load(**told) if told else None
+        Returns None if none is left.
+        """
+        fields = {}
+        for name, value in zip(self.load_names, values, strict=False):
+            if name in LOAD_FIELDS and value >= 0:
+                fields[LOAD_FIELDS[name]] = value / 1000 if name == "avg_ms" else value
+        return api.Load(**fields) if fields else None
 
 
-class Host:
+class SimulatorAdapter:
+    """Passes events to the running instances.
+
+    Also keeps the switch lists, by the numbers under which the simulator refers to them.
+    """
+
     def __init__(self) -> None:
-        self.instances: dict[int, Instance] = {}
-        self.sheets: dict[int, tuple[api.Entry, ...]] = {}
+        self.instances: dict[int, ControllerInstance] = {}
+        self.switch_lists: dict[int, tuple[api.Entry, ...]] = {}
 
-    def answer(self, number: int, now: float, body: bytes, records: int) -> bytes:
-        out: list[bytes] = []
-        at = 0
+    def process_batch(self, batch_number: int, now: float, body: bytes, record_count: int) -> bytes:
+        """Processes the records of a batch in order and returns the encoded reply; `now` is in seconds.
+
+        Raises ProtocolError for malformed input.
+        """
+        replies: list[bytes] = []
+        offset = 0
         try:
-            for _ in range(records):
-                at = self.record(now, body, at, out)
+            for _ in range(record_count):
+                offset = self.process_record(now, body, offset, replies)
         except (struct.error, IndexError):
-            raise WireError("truncated record") from None
-        if at != len(body):
-            raise WireError("a batch is longer than its records")
-        reply = b"".join(out)
-        return REPLY.pack(number, len(reply)) + reply
-
-    def record(self, now: float, body: bytes, at: int, out: list[bytes]) -> int:
-        code = body[at]
-        at += 1
-        if code == 24:
-            sheet, count = SHEET.unpack_from(body, at)
-            at += SHEET.size
+            raise ProtocolError("truncated record") from None
+        if offset != len(body):
+            raise ProtocolError("batch is longer than its records")
+        reply = b"".join(replies)
+        return REPLY_HEADER.pack(batch_number, len(reply)) + reply
+
+    def process_record(self, now: float, body: bytes, offset: int, replies: list[bytes]) -> int:
+        """Processes the record at `offset`, adds its output records to `replies`, returns the next offset.
+
+        Events of unknown instances are decoded and ignored. An exception of the controller is reported as a
+        failure of its instance. Raises ProtocolError for invalid codes, struct.error or IndexError for a
+        truncated record.
+        """
+        code = body[offset]
+        offset += 1
+        if code == 24:  # entries of a switch list, for later reference by its number
+            list_number, count = LIST_HEADER.unpack_from(body, offset)
+            offset += LIST_HEADER.size
             entries = []
             for _ in range(count):
-                switch, _zone, _kind, cell, state, _share, since = ENTRY.unpack_from(body, at)
-                at += ENTRY.size
-                entries.append(api.Entry(switch, cell, known(STATES, state, "switch state"), since))
-            self.sheets[sheet] = tuple(entries)
-            return at
-        if code == 16:
-            inst, seed, size = BOOT.unpack_from(body, at)
-            at += BOOT.size
-            text = take(body, at, size).decode("utf-8", "replace")
-            self.boot(inst, seed, text, out)
-            return at + size
-        if code == 23:
-            (inst,) = STOP.unpack_from(body, at)
-            self.instances.pop(inst, None)
-            return at + STOP.size
-        (inst,) = STOP.unpack_from(body, at)
-        holder = self.instances.get(inst)
+                switch, _zone, _kind, number, state, _share, started_at_s = LIST_ENTRY.unpack_from(
+                    body, offset
+                )
+                offset += LIST_ENTRY.size
+                entries.append(
+                    api.Entry(switch, number, lookup(SWITCH_STATES, state, "switch state"), started_at_s)
+                )
+            self.switch_lists[list_number] = tuple(entries)
+            return offset
+        if code == 16:  # boot: start of an instance
+            instance_id, seed, size = BOOT.unpack_from(body, offset)
+            offset += BOOT.size
+            text = read_bytes(body, offset, size).decode("utf-8", "replace")
+            self.start_instance(instance_id, seed, text, replies)
+            return offset + size
+        if code == 23:  # stop of an instance
+            (instance_id,) = INSTANCE_ID.unpack_from(body, offset)
+            self.instances.pop(instance_id, None)
+            return offset + INSTANCE_ID.size
+        (instance_id,) = INSTANCE_ID.unpack_from(body, offset)
+        instance = self.instances.get(instance_id)
         event: api.Event
-        if code == 26:
-            (_, call, width, left, tenant, key, _work, bits, far, qos, via) = SUBMIT.unpack_from(body, at)
-            at += SUBMIT.size
+        if code == 26:  # submit
+            (
+                _,
+                call,
+                width_circuits,
+                time_left_s,
+                tenant,
+                number_called,
+                _work,
+                flags,
+                destination,
+                class_index,
+                advice,
+            ) = SUBMIT.unpack_from(body, offset)
+            offset += SUBMIT.size
             event = api.Arrival(
                 call,
-                qos,
-                width,
-                left,
+                class_index,
+                width_circuits,
+                time_left_s,
                 tenant,
-                key,
-                int(far),
-                bool(bits & 8),
-                bool(bits & 16),
-                bool(bits & 2),
-                int(via),
+                number_called,
+                int(destination),
+                bool(flags & 8),
+                bool(flags & 16),
+                bool(flags & 2),
+                int(advice),
+            )
+        elif code == 25:  # end of an attempt or an established call
+            _, call, attempt, switch, outcome_code, elapsed_s, call_over, reason_code, value_count = (
+                ATTEMPT_ENDED.unpack_from(body, offset)
+            )
+            offset += ATTEMPT_ENDED.size
+            values = struct.unpack_from(f"<{value_count}f", body, offset)
+            offset += 4 * value_count
+            outcome, (reason, retry_after_s) = (
+                lookup(OUTCOMES, outcome_code, "outcome"),
+                parse_reason(reason_code),
             )
-        elif code == 25:
-            _, call, attempt, switch, result, rtt, over, why, n = ENDED.unpack_from(body, at)
-            at += ENDED.size
-            values = struct.unpack_from(f"<{n}f", body, at)
-            at += 4 * n
-            outcome, (reason, wait) = known(OUTCOMES, result, "outcome"), reason_of(why)
             event = api.AttemptEnded(
                 call,
                 attempt,
                 switch,
                 outcome,
-                rtt,
-                bool(over),
+                elapsed_s,
+                bool(call_over),
                 reason,
-                wait,
-                holder.load(values) if holder else None,
+                retry_after_s,
+                instance.parse_load(values) if instance else None,
             )
-        elif code == 17:
-            _, call, attempt, switch, rtt = FLOWING.unpack_from(body, at)
-            at += FLOWING.size
-            event = api.CallEstablished(call, attempt, switch, rtt)
-        elif code == 19:
-            _, switch, result, rtt, n = ECHO.unpack_from(body, at)
-            at += ECHO.size
-            values = struct.unpack_from(f"<{n}f", body, at)
-            at += 4 * n
+        elif code == 17:  # call established
+            _, call, attempt, switch, elapsed_s = CALL_ESTABLISHED.unpack_from(body, offset)
+            offset += CALL_ESTABLISHED.size
+            event = api.CallEstablished(call, attempt, switch, elapsed_s)
+        elif code == 19:  # load report, or result of a probe
+            _, switch, result, elapsed_s, value_count = LOAD_REPORT.unpack_from(body, offset)
+            offset += LOAD_REPORT.size
+            values = struct.unpack_from(f"<{value_count}f", body, offset)
+            offset += 4 * value_count
             event = api.LoadReport(
                 switch,
                 result == 1,
-                rtt,
-                not (result == 1 and rtt == 0),
-                holder.load(values) if holder else None,
+                elapsed_s,
+                not (result == 1 and elapsed_s == 0),
+                instance.parse_load(values) if instance else None,
             )
-        elif code == 22:
-            _, token = DUE.unpack_from(body, at)
-            at += DUE.size
+        elif code == 22:  # due: a timer has expired
+            _, token = DUE.unpack_from(body, offset)
+            offset += DUE.size
             event = api.TimerDue(token)
-        elif code == 20:
-            _, call = WITHDRAWN.unpack_from(body, at)
-            at += WITHDRAWN.size
+        elif code == 20:  # withdrawn
+            _, call = WITHDRAWN.unpack_from(body, offset)
+            offset += WITHDRAWN.size
             event = api.Withdrawn(call)
-        elif code == 18:
-            _, how, sheet, _version = LIST.unpack_from(body, at)
-            at += LIST.size
-            kind = known(LISTS, how, "list kind")
-            entries = () if kind is api.ListKind.FAILED else known(self.sheets, sheet, "list number")
+        elif code == 18:  # switch list, by the number of its entries
+            _, kind_code, list_number, _version = SWITCH_LIST.unpack_from(body, offset)
+            offset += SWITCH_LIST.size
+            kind = lookup(LIST_KINDS, kind_code, "list kind")
+            entries = (
+                () if kind is api.ListKind.FAILED else lookup(self.switch_lists, list_number, "list number")
+            )
             event = api.SwitchList(kind, entries)
-        elif code == 21:
-            _, sender, size = PEER.unpack_from(body, at)
-            at += PEER.size
-            event = api.PeerMessage(sender, take(body, at, size))
-            at += size
+        elif code == 21:  # message from another call controller
+            _, sender, size = PEER_MESSAGE.unpack_from(body, offset)
+            offset += PEER_MESSAGE.size
+            event = api.PeerMessage(sender, read_bytes(body, offset, size))
+            offset += size
         else:
-            raise WireError(f"unknown event code {code}")
-        if holder is not None:
+            raise ProtocolError(f"unknown event code {code}")
+        if instance is not None:
             try:
-                for action in holder.controller.handle(now, event):
-                    out.append(packed(inst, action))
-            except Exception as fault:
-                out.append(bail_out(inst, fault))
-        return at
+                for action in instance.controller.handle(now, event):
+                    replies.append(encode_action(instance_id, action))
+            except Exception as error:
+                replies.append(instance_failure(instance_id, error))
+        return offset
 
-    def boot(self, inst: int, seed: int, text: str, out: list[bytes]) -> None:
+    def start_instance(self, instance_id: int, seed: int, text: str, replies: list[bytes]) -> None:
+        """Starts an instance with the parameters in `text`, in place of a running one with the same id.
+
+        Unusable parameters are reported as a failure of the instance, which is then not running.
+        """
         try:
-            pairs = Pairs(text)
-            names = [name for name in pairs.text("report.names").split(",") if name]
-            self.instances[inst] = Instance(CallController(settings_from(pairs, seed)), names)
-        except Exception as fault:
-            self.instances.pop(inst, None)
-            out.append(bail_out(inst, fault))
+            parameters = BootParameters(text)
+            load_names = [name for name in parameters.text("report.names").split(",") if name]
+            self.instances[instance_id] = ControllerInstance(
+                CallController(parse_settings(parameters, seed)), load_names
+            )
+        except Exception as error:
+            self.instances.pop(instance_id, None)
+            replies.append(instance_failure(instance_id, error))
 
 
-def take(body: bytes, at: int, size: int) -> bytes:
-    if at + size > len(body):
-        raise WireError("truncated record")
-    return body[at : at + size]
+def read_bytes(body: bytes, offset: int, size: int) -> bytes:
+    """Raises ProtocolError if fewer than `size` bytes are left."""
+    if offset + size > len(body):
+        raise ProtocolError("truncated record")
+    return body[offset : offset + size]
 
 
-def known(table: dict, value: int, what: str):
+def lookup(table: dict, value: int, description: str):
+    """The table's entry for a number in a record. Raises ProtocolError if there is none."""
     if value not in table:
-        raise WireError(f"unknown {what} {value}")
+        raise ProtocolError(f"unknown {description} {value}")
     return table[value]
 
 
-def reason_of(why: int) -> tuple[api.Reason, float | None]:
-    """The low four bits name the reason; what lies above them is a wait, or for 18 the processor beyond."""
-    low, high = why & 15, why >> 4
-    reason = known(REASONS, low, "reason")
-    if reason is api.Reason.REJECTED_BY_TANDEM and high:
+def parse_reason(reason_code: int) -> tuple[api.Reason, float | None]:
+    """Returns the reason and the wait in seconds that the switch asked for; None: none given.
+
+    The low four bits are the key in REASONS. With PROCESSOR_FULL the bits above them are the wait in
+    milliseconds; with REJECTED_BY_TANDEM any bit above them (code 18) means that the destination's processor
+    was full. Raises ProtocolError for an unknown reason.
+    """
+    low_bits, high_bits = reason_code & 15, reason_code >> 4
+    reason = lookup(REASONS, low_bits, "reason")
+    if reason is api.Reason.REJECTED_BY_TANDEM and high_bits:
         return api.Reason.DESTINATION_PROCESSOR_FULL, None
-    return reason, high / 1000 if reason is api.Reason.PROCESSOR_FULL and high else None
+    return reason, high_bits / 1000 if reason is api.Reason.PROCESSOR_FULL and high_bits else None
 
 
-def text_record(code: int, inst: int, text: str) -> bytes:
+def text_record(code: int, instance_id: int, text: str) -> bytes:
+    """A record with a text of one line, cut at 65535 bytes, the most that its length field can state."""
     data = " ".join(text.split()).encode("utf-8", "replace")[:0xFFFF]
-    return TEXT.pack(code, inst, len(data)) + data
-
-
-def bail_out(inst: int, fault: Exception) -> bytes:
-    return text_record(BAIL_OUT, inst, f"{type(fault).__name__}: {fault}")
-
-
-def packed(inst: int, action: api.Action) -> bytes:
-    if isinstance(action, api.SetUp):
-        return SUBMIT_TO.pack(80, inst, action.call, action.switch, action.abandon_at_s)
-    if isinstance(action, api.Refuse):
-        return SHED.pack(89, inst, action.call, action.hold_off_s)
-    if isinstance(action, api.Fail):
-        return FAIL.pack(90, inst, action.call)
-    if isinstance(action, api.SetTimer):
-        return REMIND.pack(84, inst, action.delay_s, action.token)
-    if isinstance(action, api.LogMessage):
-        return text_record(81, inst, action.text)
-    if isinstance(action, api.Probe):
-        return INSPECT.pack(91, inst, action.switch)
-    if isinstance(action, api.SendPeerMessage):
-        peer = EVERY_PEER if action.peer is None else action.peer
-        return TELL.pack(86, inst, peer, len(action.payload)) + action.payload
-    if isinstance(action, api.Subscribe):
-        return WATCH.pack(82, inst, 1)
+    return TEXT_HEADER.pack(code, instance_id, len(data)) + data
+
+
+def instance_failure(instance_id: int, error: Exception) -> bytes:
+    """The record that reports a failure of an instance to the simulator."""
+    return text_record(INSTANCE_FAILURE_CODE, instance_id, f"{type(error).__name__}: {error}")
+
+
+def encode_action(instance_id: int, action: api.Action) -> bytes:
+    if isinstance(action, api.SetUp):  # submit_to
+        return SUBMIT_TO.pack(80, instance_id, action.call, action.switch, action.abandon_at_s)
+    if isinstance(action, api.Refuse):  # shed
+        return SHED.pack(89, instance_id, action.call, action.hold_off_s)
+    if isinstance(action, api.Fail):  # error
+        return ERROR.pack(90, instance_id, action.call)
+    if isinstance(action, api.SetTimer):  # remind
+        return REMIND.pack(84, instance_id, action.delay_s, action.token)
+    if isinstance(action, api.LogMessage):  # log
+        return text_record(81, instance_id, action.text)
+    if isinstance(action, api.Probe):  # probe of a switch
+        return PROBE.pack(91, instance_id, action.switch)
+    if isinstance(action, api.SendPeerMessage):  # message to one or all other call controllers
+        peer = ALL_PEERS if action.peer is None else action.peer
+        return SEND_PEER_MESSAGE.pack(86, instance_id, peer, len(action.payload)) + action.payload
+    if isinstance(action, api.Subscribe):  # subscription to the switch list
+        return SUBSCRIBE.pack(82, instance_id, 1)
     raise TypeError(f"no such action: {action!r}")
 
 
-def read_exactly(source: BinaryIO, size: int, between: bool = False) -> bytes:
+def read_exactly(source: BinaryIO, size: int, eof_allowed: bool = False) -> bytes:
+    """Reads `size` bytes; with `eof_allowed` returns b"" at the end of the input.
+
+    Raises ProtocolError if the input ends otherwise.
+    """
     data = source.read(size)
-    if len(data) != size and not (between and not data):
-        raise WireError("truncated frame")
+    if len(data) != size and not (eof_allowed and not data):
+        raise ProtocolError("truncated frame")
     return data
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    host = Host()
+    """Answers batches until the input ends between two of them. Raises ProtocolError for malformed input."""
+    adapter = SimulatorAdapter()
     while True:
-        head = read_exactly(source, HEADER.size, between=True)
-        if not head:
+        header = read_exactly(source, BATCH_HEADER.size, eof_allowed=True)
+        if not header:
             return
-        number, now, length, records = HEADER.unpack(head)
+        batch_number, now, length, record_count = BATCH_HEADER.unpack(header)
         if length < 4:
-            raise WireError("truncated frame")
+            raise ProtocolError("truncated frame")
         body = read_exactly(source, length - 4)
-        sink.write(host.answer(number, now, body, records))
+        sink.write(adapter.process_batch(batch_number, now, body, record_count))
         sink.flush()
 
 
 def main() -> int:
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except WireError as fault:
-        print(f"chutefork.simulator_adapter: {fault}", file=sys.stderr)
+    except ProtocolError as error:
+        print(f"chutefork.simulator_adapter: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter's frames, byte for byte, and how it ends."""
+"""The adapter's output records, byte for byte, and its exit status."""
 
 import io
 import struct
@@ -7,7 +7,7 @@
 
 from chutefork import simulator_adapter
 
-FACTS = """accounts=
+PARAMETERS = """accounts=
 balancers=3
 family_info.call_length_s=10.0
 family_info.network_form=network
@@ -40,106 +40,110 @@
 """
 
 
-def frame(number, now, *records):
+def batch(number, now, *records):
     body = b"".join(records)
     return struct.pack("<IdII", number, now, 4 + len(body), len(records)) + body
 
 
-def boot(inst=3, facts=FACTS):
-    data = facts.encode()
-    return struct.pack("<BIQI", 16, inst, 77, len(data)) + data
+def boot(instance_id=3, parameters=PARAMETERS):
+    data = parameters.encode()
+    return struct.pack("<BIQI", 16, instance_id, 77, len(data)) + data
 
 
-def pool(sheet=0):
+def list_entries(list_number=0):
     entries = b"".join(struct.pack("<IHBHBfd", 900 + n, 0, 0, n, 1, 1.0, 0.0) for n in range(3))
-    return struct.pack("<BHI", 24, sheet, 3) + entries
+    return struct.pack("<BHI", 24, list_number, 3) + entries
 
 
-def listed(inst=3):
-    return struct.pack("<BIBHI", 18, inst, 1, 0, 1)
+def switch_list(instance_id=3):
+    return struct.pack("<BIBHI", 18, instance_id, 1, 0, 1)
 
 
-def submit(call, dest, inst=3):
-    return struct.pack("<BIQfdHQdBfBf", 26, inst, call, 1.0, 3.0, 0, 5, 0.0, 0, float(dest), 0, -1.0)
+def submit(call, destination, instance_id=3):
+    return struct.pack(
+        "<BIQfdHQdBfBf", 26, instance_id, call, 1.0, 3.0, 0, 5, 0.0, 0, float(destination), 0, -1.0
+    )
 
 
-def run(data):
+def reply_to(data):
     sink = io.BytesIO()
     simulator_adapter.serve(io.BytesIO(data), sink)
     return sink.getvalue()
 
 
-def process(data):
+def run_process(data):
     command = [sys.executable, "-m", "chutefork.simulator_adapter"]
     return subprocess.run(command, input=data, capture_output=True, timeout=60)
 
 
-def test_an_empty_batch_is_answered_empty():
-    assert run(frame(1, 4.5)) == struct.pack("<II", 1, 0)
+def test_an_empty_batch_gets_an_empty_reply():
+    assert reply_to(batch(1, 4.5)) == struct.pack("<II", 1, 0)
 
 
-def test_a_call_is_sent_direct_in_the_wire_bytes():
-    reply = run(frame(0, 10.0, boot(), pool(), listed()) + frame(1, 20.0, submit(51, 2)))
-    send = struct.pack("<BIQId", 80, 3, 51, 902, 20.0 + 3.0 - 0.005)
-    assert reply == struct.pack("<II", 0, 0) + struct.pack("<II", 1, len(send)) + send
+def test_a_call_sent_directly_gives_a_submit_to_record():
+    reply = reply_to(batch(0, 10.0, boot(), list_entries(), switch_list()) + batch(1, 20.0, submit(51, 2)))
+    submit_to = struct.pack("<BIQId", 80, 3, 51, 902, 20.0 + 3.0 - 0.005)
+    assert reply == struct.pack("<II", 0, 0) + struct.pack("<II", 1, len(submit_to)) + submit_to
 
 
-def test_an_unlisted_destination_is_shed_in_the_wire_bytes():
-    reply = run(frame(0, 10.0, boot(), pool(), listed()) + frame(1, 20.0, submit(51, 9)))
+def test_a_call_to_an_unlisted_destination_gives_a_shed_record():
+    reply = reply_to(batch(0, 10.0, boot(), list_entries(), switch_list()) + batch(1, 20.0, submit(51, 9)))
     shed = reply[16:]
     assert shed[:13] == struct.pack("<BIQ", 89, 3, 51) and len(shed) == 21
 
 
-def test_missing_settings_go_out_as_bail_out_naming_the_key():
-    reply = run(frame(0, 10.0, boot(facts=FACTS.replace("rules.cold_share=0.3\n", ""))))
+def test_a_missing_parameter_is_reported_as_an_instance_failure_that_names_it():
+    reply = reply_to(batch(0, 10.0, boot(parameters=PARAMETERS.replace("rules.cold_share=0.3\n", ""))))
     assert reply[8] == 87 and b"rules.cold_share" in reply
 
 
-def test_contradictory_settings_go_out_as_bail_out_naming_the_field():
-    facts = FACTS.replace("services.0.target_s=1.5", "services.0.target_s=99.0")
-    assert b"aim_s" in run(frame(0, 10.0, boot(facts=facts)))
+def test_contradictory_parameters_are_reported_as_an_instance_failure_that_names_the_field():
+    parameters = PARAMETERS.replace("services.0.target_s=1.5", "services.0.target_s=99.0")
+    assert b"aim_s" in reply_to(batch(0, 10.0, boot(parameters=parameters)))
 
 
-def test_an_exception_of_the_module_is_not_swallowed(monkeypatch):
-    def broken(self, now, event):
+def test_an_exception_of_the_controller_is_reported_as_an_instance_failure(monkeypatch):
+    def raise_error(self, now, event):
         raise RuntimeError("broken on purpose")
 
-    monkeypatch.setattr(simulator_adapter.CallController, "handle", broken)
-    reply = run(frame(0, 10.0, boot(), pool(), listed()))
+    monkeypatch.setattr(simulator_adapter.CallController, "handle", raise_error)
+    reply = reply_to(batch(0, 10.0, boot(), list_entries(), switch_list()))
     text = b"RuntimeError: broken on purpose"
     assert reply[8:] == struct.pack("<BIH", 87, 3, len(text)) + text
 
 
-def test_end_of_input_between_frames_exits_zero():
-    done = process(frame(1, 4.5))
-    assert (done.returncode, done.stdout, done.stderr) == (0, struct.pack("<II", 1, 0), b"")
+def test_end_of_input_between_batches_exits_zero():
+    result = run_process(batch(1, 4.5))
+    assert (result.returncode, result.stdout, result.stderr) == (0, struct.pack("<II", 1, 0), b"")
 
 
-def test_a_truncated_frame_exits_non_zero_with_one_line():
-    done = process(frame(1, 4.5, boot())[:-3])
-    assert done.returncode != 0 and done.stderr.decode().count("\n") == 1
+def test_a_truncated_batch_exits_non_zero_with_one_line():
+    result = run_process(batch(1, 4.5, boot())[:-3])
+    assert result.returncode != 0 and result.stderr.decode().count("\n") == 1
 
 
 def test_an_unknown_code_exits_non_zero_with_one_line():
-    done = process(frame(1, 4.5, struct.pack("<BI", 99, 3)))
-    assert done.returncode != 0 and done.stderr.decode().count("\n") == 1 and b"99" in done.stderr
+    result = run_process(batch(1, 4.5, struct.pack("<BI", 99, 3)))
+    assert result.returncode != 0 and result.stderr.decode().count("\n") == 1 and b"99" in result.stderr
 
 
-def test_reasons_carry_waits_and_the_processor_beyond():
+def test_reason_codes_carry_waits_and_a_full_destination_processor():
     api = simulator_adapter.api
-    assert simulator_adapter.reason_of(18) == (api.Reason.DESTINATION_PROCESSOR_FULL, None)
-    assert simulator_adapter.reason_of(3 + 16 * 2500) == (api.Reason.PROCESSOR_FULL, 2.5)
-    assert simulator_adapter.reason_of(4) == (api.Reason.LINES_BUSY, None)
+    assert simulator_adapter.parse_reason(18) == (api.Reason.DESTINATION_PROCESSOR_FULL, None)
+    assert simulator_adapter.parse_reason(3 + 16 * 2500) == (api.Reason.PROCESSOR_FULL, 2.5)
+    assert simulator_adapter.parse_reason(4) == (api.Reason.LINES_BUSY, None)
 
 
-def test_a_report_of_minus_one_is_no_reading():
-    instance = simulator_adapter.Instance(None, ["idle", "circuits", "avg_ms"])
-    assert instance.load((4.0, 20.0, -1.0)) == simulator_adapter.api.Load(
+def test_a_load_value_of_minus_one_counts_as_not_reported():
+    instance = simulator_adapter.ControllerInstance(None, ["idle", "circuits", "avg_ms"])
+    assert instance.parse_load((4.0, 20.0, -1.0)) == simulator_adapter.api.Load(
         free_circuits=4.0, group_circuits=20.0
     )
-    assert instance.load(()) is None
+    assert instance.parse_load(()) is None
 
 
-def test_records_of_a_stopped_instance_are_passed_over():
+def test_records_of_a_stopped_instance_are_ignored():
     stop = struct.pack("<BI", 23, 3)
-    assert run(frame(0, 10.0, boot(), pool(), listed(), stop, submit(51, 2))) == struct.pack("<II", 0, 0)
+    assert reply_to(
+        batch(0, 10.0, boot(), list_entries(), switch_list(), stop, submit(51, 2))
+    ) == struct.pack("<II", 0, 0)
