--- a/tests/controller_harness.py
+++ b/tests/controller_harness.py
@@ -55,63 +55,109 @@
 
 
 class ControllerHarness:
+    """Drives the controller with events at a simulated time and returns the actions of each event.
+
+    The switch that serves exchange n is numbered 100 + n. Calls are numbered from 1;
+    `last_call` is the number of the latest one.
+    """
+
     def __init__(self, exchanges=4, circuits=20.0, **changes):
+        """`circuits`: free ones of each trunk group; `changes`: fields of SETTINGS to replace."""
         self.settings = replace(SETTINGS, **changes)
         self.controller = CallController(self.settings)
         self.now = 100.0
-        self.next_call = 0
-        self.list(
+        self.last_call = 0
+        self.update_list(
             *[(100 + n, n, SwitchState.READY, 0.0) for n in range(exchanges + 1)], kind=ListKind.REMEMBERED
         )
         for n in range(1, exchanges + 1):
-            self.circuits(n, circuits)
+            self.report_circuits(n, circuits)
 
-    def at(self, seconds):
+    def advance(self, seconds):
+        """Advances the time and returns the harness, so that an event can be chained."""
         self.now += seconds
         return self
 
-    def tell(self, event):
+    def handle(self, event):
         return self.controller.handle(self.now, event)
 
-    def list(self, *entries, kind=ListKind.CHANGES):
-        return self.tell(SwitchList(kind, tuple(Entry(*entry) for entry in entries)))
+    def update_list(self, *entries, kind=ListKind.CHANGES):
+        """Each entry is a tuple of the fields of `Entry`."""
+        return self.handle(SwitchList(kind, tuple(Entry(*entry) for entry in entries)))
 
-    def circuits(self, number, free, size=20.0):
+    def report_circuits(self, number, free, size=20.0):
         load = Load(free_circuits=free, group_circuits=size)
-        return self.tell(LoadReport(100 + number, True, 0.0, False, load))
-
-    def call(self, dest=1, left=3.0, transit=False, advice=-1, called=0, width=1, tenant=0, cls=0):
-        self.next_call += 1
-        return self.tell(
-            Arrival(self.next_call, cls, width, left, tenant, called, dest, transit, False, False, advice)
+        return self.handle(LoadReport(100 + number, True, 0.0, False, load))
+
+    def call(
+        self,
+        dest=1,
+        time_left_s=3.0,
+        in_transit=False,
+        advice=-1,
+        number_called=0,
+        width_circuits=1,
+        tenant=0,
+        class_index=0,
+    ):
+        self.last_call += 1
+        return self.handle(
+            Arrival(
+                self.last_call,
+                class_index,
+                width_circuits,
+                time_left_s,
+                tenant,
+                number_called,
+                dest,
+                in_transit,
+                False,
+                False,
+                advice,
+            )
         )
 
-    def stands(self, call, switch, attempt=0, elapsed=0.1):
-        return self.tell(CallEstablished(call, attempt, switch, elapsed))
-
-    def ended(self, call, switch, outcome, reason=Reason.NONE, attempt=0, over=False, wait=None, load=None):
-        return self.tell(AttemptEnded(call, attempt, switch, outcome, 0.1, over, reason, wait, load))
+    def established(self, call, switch, attempt=0, elapsed_s=0.1):
+        return self.handle(CallEstablished(call, attempt, switch, elapsed_s))
+
+    def ended(
+        self,
+        call,
+        switch,
+        outcome,
+        reason=Reason.NONE,
+        attempt=0,
+        call_over=False,
+        retry_after_s=None,
+        load=None,
+    ):
+        return self.handle(
+            AttemptEnded(call, attempt, switch, outcome, 0.1, call_over, reason, retry_after_s, load)
+        )
 
     def withdrawn(self, call):
-        return self.tell(Withdrawn(call))
+        return self.handle(Withdrawn(call))
 
-    def due(self, token):
-        return self.tell(TimerDue(token))
+    def expire_timer(self, token):
+        return self.handle(TimerDue(token))
 
     def exchange(self, number):
+        """The controller's state of a remote exchange."""
         return self.controller.exchanges[100 + number]
 
 
-def of(actions, kind):
+def actions_of_type(actions, kind):
     return [action for action in actions if isinstance(action, kind)]
 
 
-def sends(actions):
-    return [action.switch for action in of(actions, SetUp)]
+def sent_to(actions):
+    """The switches to which the actions send set-ups."""
+    return [action.switch for action in actions_of_type(actions, SetUp)]
 
 
-def answers(actions):
-    return of(actions, Refuse) + of(actions, Fail)
+def final_answers(actions):
+    """The refusals and failures among the actions."""
+    return actions_of_type(actions, Refuse) + actions_of_type(actions, Fail)
 
 
 __all__ = [
@@ -128,7 +174,7 @@
     "SetTimer",
     "SetUp",
     "SwitchState",
-    "answers",
-    "of",
-    "sends",
+    "actions_of_type",
+    "final_answers",
+    "sent_to",
 ]
