--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,3 +1,5 @@
+"""Settings that a call controller cannot work with are refused, and the error names the field."""
+
 from dataclasses import replace
 
 import pytest
@@ -22,7 +24,7 @@
         ("warm_up_s", -1),
     ],
 )
-def test_settings_that_cannot_work_name_the_field(field, value):
+def test_unusable_settings_raise_an_error_that_names_the_field(field, value):
     with pytest.raises(ValueError, match=field):
         replace(SETTINGS, **{field: value})
 
@@ -37,11 +39,11 @@
         ("width_circuits", 0),
     ],
 )
-def test_a_class_that_cannot_work_names_the_field(field, value):
+def test_an_unusable_call_class_raises_an_error_that_names_the_field(field, value):
     with pytest.raises(ValueError, match=field):
         replace(SETTINGS, classes=(replace(CLASS, **{field: value}),))
 
 
-def test_pools_need_the_pools_of_each_class():
+def test_the_pools_form_needs_pools_for_every_class():
     with pytest.raises(ValueError, match="pools"):
         replace(SETTINGS, pools_form=True, own_number=-1)
