--- a/chutefork/net/callers.py
+++ b/chutefork/net/callers.py
@@ -10,7 +10,7 @@
 from twisted.protocols.basic import LineReceiver
 
 from ..core import messages
-from .connection import LONGEST, UNPRINTED, Connection, log
+from .connection import CONTROL_CHARACTERS, MAX_MESSAGE_BYTES, Connection, log
 
 if TYPE_CHECKING:
     from ..config import Config
@@ -47,7 +47,7 @@
 class CallerProtocol(Connection, LineReceiver):
     role = "caller"
     delimiter = b"\n"
-    MAX_LENGTH = LONGEST
+    MAX_LENGTH = MAX_MESSAGE_BYTES
 
     def __init__(self, front: CallerFront) -> None:
         self.front = front
@@ -66,8 +66,8 @@
         self.front.connections[self] = None
         self.front.crowd()
 
-    def feed(self) -> None:
-        super().feed()
+    def process_input(self) -> None:
+        super().process_input()
         self.dispatch()
 
     def unread(self) -> bool:
@@ -75,11 +75,14 @@
 
     def dispatch(self) -> None:
         """Set-ups go on once what came with them is read: many that are taken back at once never leave."""
-        while self.waiting and not self.feeding and not self.code:
+        while self.waiting and not self.processing_input and not self.code:
             self.front.driver.tell(self.waiting.pop(next(iter(self.waiting))))
 
     def push(self, data: bytes) -> bool:
-        if len(self.outward) + len(data) > self.front.share and self.front.buffered() > self.front.budget:
+        if (
+            len(self.output_buffer) + len(data) > self.front.share
+            and self.front.buffered() > self.front.budget
+        ):
             # guards the memory against many who take nothing: each beyond its share goes once all is in use
             self.end("out-overflow", "memory for callers", at_once=True)
         return super().push(data)
@@ -92,7 +95,7 @@
         if self.bad >= MOST_BAD:
             self.end("bad-setups", f"{self.bad} set-ups that cannot be taken")
         else:
-            self.rest(BAD_REST_S)
+            self.pause_reading(BAD_REST_S)
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
         self.taken += 1
@@ -100,7 +103,7 @@
         self.turn = self.turn + 1 if self.turn_at == now else 1
         self.turn_at = now
         if self.turn >= TURN:  # guards the turns of the others against a flood on one connection
-            self.rest(0)
+            self.pause_reading(0)
         try:
             record = json.loads(line)
             kind, uid = record["kind"], record.get("uid", "")
@@ -125,11 +128,11 @@
 
     def resumeProducing(self) -> None:  # noqa: N802
         super().resumeProducing()
-        if not self.outward:
+        if not self.output_buffer:
             self.stuck.clear()
 
     def lineLengthExceeded(self, line: bytes) -> None:  # noqa: N802
-        self.end("long-line", f"over {LONGEST} bytes")
+        self.end("long-line", f"over {MAX_MESSAGE_BYTES} bytes")
 
     def lost(self) -> None:
         self.front.lost(self)
@@ -192,7 +195,7 @@
         self.clock.callLater(SWEEP_S, self.sweep)
 
     def buffered(self) -> int:
-        return sum(len(item.outward) for item in self.connections)
+        return sum(len(item.output_buffer) for item in self.connections)
 
     def crowd(self) -> None:
         """Room is made once for all that came in a turn: in a flood each look at all of them costs time."""
@@ -299,9 +302,9 @@
         if arrival.destination < 0 or arrival.advice < -1:
             raise ValueError("an exchange's number is out of range")
         # guards the calls of others: an exchange closes its connection on a set-up that it cannot read
-        if not body or UNPRINTED.search(body):
+        if not body or CONTROL_CHARACTERS.search(body):
             raise ValueError("no description, or no text")
-        if len(name) + len(key) + len(body.encode()) + FRAME_ROOM > LONGEST:
+        if len(name) + len(key) + len(body.encode()) + FRAME_ROOM > MAX_MESSAGE_BYTES:
             raise ValueError("too long for an exchange")
         return arrival, (name, key, body)
 
@@ -343,7 +346,7 @@
         if place is None:
             return
         data = line_of("running", place[1], body=effect.description)
-        if len(data) > LONGEST:
+        if len(data) > MAX_MESSAGE_BYTES:
             log(f"long-answer uid={place[1]} bytes={len(data)}")
             place[0].push(line_of("stop", place[1], reason=FAILED))
         elif place[0].push(data):
--- a/chutefork/net/channel.py
+++ b/chutefork/net/channel.py
@@ -1,4 +1,4 @@
-"""The command channel: long polls over HTTP/1.1 that bring the changes of the list of exchanges."""
+"""The command channel: long polls over HTTP/1.1 for changes of the list of exchanges."""
 
 from __future__ import annotations
 
@@ -14,48 +14,56 @@
 
     from .clock import TurnReactor
 
-BLOCK_MS = 1000  # short, so that a connection that fell silent is noticed well before its news binds
-SILENT_S = BLOCK_MS / 1000 + 0.6  # no answer by then: the channel is away, whatever the connection says
-RETRY_S = (0.0, 0.05, 0.2, 0.5)  # at once after a break: what is there to tell binds two seconds later
+# Changes take effect two seconds after their publication. A poll is short, and a reconnect immediate, so that
+# a broken connection is noticed and replaced well before that.
+POLL_MS = 1000
+POLL_TIMEOUT_S = POLL_MS / 1000 + 0.6  # without a response by then the connection is taken as broken
+RETRY_DELAYS_S = (0.0, 0.05, 0.2, 0.5)  # after the first, second, ... failure in a row
 
 
 class Channel:
-    """Keeps asking, from the last number on, for as long as the program runs."""
+    """Polls for commands after `cursor`, and reconnects after every failure, until `leave` is called.
+
+    `on_commands` gets the commands of each response that are later than the cursor, which may be none.
+    """
 
     role = "channel"
 
-    def __init__(self, address: str, cursor: int, told: Callable[[list], None], clock: TurnReactor) -> None:
+    def __init__(
+        self, address: str, cursor: int, on_commands: Callable[[list], None], clock: TurnReactor
+    ) -> None:
         self.address = address
         self.cursor = cursor
-        self.told = told
+        self.on_commands = on_commands
         self.clock = clock
-        self.tries = 0
+        self.failures = 0  # in a row
         self.stopped = False
         self.stream: HttpStream | None = None
-        self.connector: IConnector | None = None  # of the connection that is there or being made
-        self.retry: IDelayedCall | None = None
+        self.connector: IConnector | None = None  # of the connection that is open or being made
+        self.retry_timer: IDelayedCall | None = None
 
     def connect(self) -> None:
-        self.retry = None
+        self.retry_timer = None
         if not self.stopped:
             self.connector = connect(self, self.clock)
 
     def made(self, stream: HttpStream) -> None:
         self.stream = stream
-        self.ask()
+        self.poll()
 
     def move(self, address: str) -> None:
-        """To another address, from the last number on: the new one tells what the old one has not told."""
-        self.address, self.tries = address, 0
+        """Reconnects to another address and goes on from the present cursor: commands that the old address
+        has not delivered come from the new one."""
+        self.address, self.failures = address, 0
         if self.stream is not None:
             self.stream.end("moved", at_once=True)
-        elif self.retry is not None:
-            self.retry.reset(0)
+        elif self.retry_timer is not None:
+            self.retry_timer.reset(0)
         elif self.connector is not None:
             self.connector.stopConnecting()
 
-    def ask(self) -> None:
-        self.stream.ask("GET", f"/cmd/next?resume={self.cursor}&block={BLOCK_MS}", SILENT_S)
+    def poll(self) -> None:
+        self.stream.ask("GET", f"/cmd/next?resume={self.cursor}&block={POLL_MS}", POLL_TIMEOUT_S)
 
     def answered(self, status: int, headers: dict[str, str], body: bytes) -> None:
         if status != 200:
@@ -64,35 +72,37 @@
         cursor, commands = int(answer["cursor"]), answer["cmds"]
         if not isinstance(commands, list):
             raise TypeError("cmds must be a list")
-        self.tries = 0
-        self.take(cursor, commands)
-        self.ask()
+        self.failures = 0
+        self.accept(cursor, commands)
+        self.poll()
 
-    def take(self, cursor: int, commands: list) -> None:
-        """Events by their numbers, each once, whichever way they came."""
-        news = []
+    def accept(self, cursor: int, commands: list) -> None:
+        """Passes on each command once, by its cursor; a repeated one is dropped."""
+        new_commands = []
         for item in commands:
             try:
                 if int(item.get("cursor", cursor)) > self.cursor:
-                    news.append(item)
-            except (ValueError, TypeError, AttributeError, OverflowError) as fault:
-                # guards the events beside it: the whole answer would else be asked for for ever
-                log(f"bad-event detail={f'{type(fault).__name__}: {fault}'[:160]!r}")
+                    new_commands.append(item)
+            except (ValueError, TypeError, AttributeError, OverflowError) as exc:
+                # Guards the other commands of the response against one that cannot be read: an error for the
+                # whole response would have it requested again for ever.
+                log(f"bad-event detail={f'{type(exc).__name__}: {exc}'[:160]!r}")
         self.cursor = max(self.cursor, cursor)
-        self.told(news)
+        self.on_commands(new_commands)
 
     def leave(self) -> None:
+        """Stops polling for good and closes the connection."""
         self.stopped = True
         if self.stream is not None:
             self.stream.end("leaving")
-        elif self.retry is not None:
-            self.retry.cancel()
-            self.retry = None
+        elif self.retry_timer is not None:
+            self.retry_timer.cancel()
+            self.retry_timer = None
 
     def lost(self) -> None:
         self.stream = self.connector = None
         if self.stopped:
             return
-        gap_s = RETRY_S[min(self.tries, len(RETRY_S) - 1)]
-        self.tries += 1
-        self.retry = self.clock.callLater(gap_s, self.connect)
+        delay_s = RETRY_DELAYS_S[min(self.failures, len(RETRY_DELAYS_S) - 1)]
+        self.failures += 1
+        self.retry_timer = self.clock.callLater(delay_s, self.connect)
--- a/chutefork/net/clock.py
+++ b/chutefork/net/clock.py
@@ -1,4 +1,4 @@
-"""One reading of the monotonic clock a turn of the loop, in whole microseconds."""
+"""The reactor and its clock: monotonic, in whole microseconds, read once per event-loop iteration."""
 
 from __future__ import annotations
 
@@ -8,33 +8,39 @@
 from twisted.internet.epollreactor import EPollReactor
 from twisted.internet.protocol import ServerFactory
 
-ACCEPTS = 16  # new connections a turn
+MAX_ACCEPTS_PER_ITERATION = 16
 
 
 class BoundedPort(tcp.Port):
-    """Guards the descriptors, and the turns of those already there, against connections by the hundred: what
-    is not taken in this turn waits in the listener's queue, where it costs no descriptor."""
+    """Listening port that accepts a bounded number of connections per event-loop iteration.
+
+    Guards against hundreds of connections at once, which would use up the file descriptors and delay the
+    connections already open. Those not accepted yet wait in the listen queue, where they use no descriptor.
+    """
 
     def doRead(self) -> None:  # noqa: N802 (Twisted's name)
-        self.numberAccepts = min(self.numberAccepts, ACCEPTS)
+        self.numberAccepts = min(self.numberAccepts, MAX_ACCEPTS_PER_ITERATION)
         super().doRead()
 
 
 class TurnReactor(EPollReactor):
-    """The time is void when the loop goes to wait, and read at its first use after that."""
+    """Epoll reactor with a cached clock: every reading within one event-loop iteration is the same.
+
+    The cached time is cleared before the loop waits for events, and read again at its first use after that.
+    """
 
-    _turn_us = 0
+    _cached_now_us = 0
 
     def now_us(self) -> int:
-        if not self._turn_us:
-            self._turn_us = time.monotonic_ns() // 1000
-        return self._turn_us
+        if not self._cached_now_us:
+            self._cached_now_us = time.monotonic_ns() // 1000
+        return self._cached_now_us
 
     def seconds(self) -> float:
         return self.now_us() / 1_000_000
 
     def doIteration(self, timeout: float | None) -> None:  # noqa: N802 (Twisted's name)
-        self._turn_us = 0
+        self._cached_now_us = 0
         super().doIteration(timeout)
 
     def listenTCP(
@@ -44,22 +50,24 @@
         backlog: int = 50,  # noqa: N802
         interface: str = "",
     ) -> BoundedPort:
-        made = BoundedPort(port, factory, backlog, interface, self)
-        made.startListening()
-        return made
+        listening_port = BoundedPort(port, factory, backlog, interface, self)
+        listening_port.startListening()
+        return listening_port
 
 
 def install() -> TurnReactor:
+    """Makes a new reactor the global one of Twisted; fails if one is installed already."""
     reactor = TurnReactor()
     main.installReactor(reactor)
     return reactor
 
 
 class UnixPlace:
-    """Places Unix milliseconds on the monotonic clock; the Unix clock is read here and nowhere else."""
+    """Converts Unix times to the monotonic clock. Creating one is the only reading of the Unix clock."""
 
     def __init__(self) -> None:
         self.offset_us = time.time_ns() // 1000 - time.monotonic_ns() // 1000
 
     def monotonic_us(self, unix_ms: float) -> int:
+        """The same moment on the monotonic clock, at least 1; 0, which means long ago, for 0 or less."""
         return max(int(unix_ms * 1000) - self.offset_us, 1) if unix_ms > 0 else 0
--- a/chutefork/net/connection.py
+++ b/chutefork/net/connection.py
@@ -1,4 +1,4 @@
-"""What every connection has: a ring buffer a direction, back-pressure, and one log line when it ends."""
+"""Base of every TCP connection: bounded buffers both ways, back-pressure, and one log line when it ends."""
 
 from __future__ import annotations
 
@@ -13,165 +13,173 @@
 
 from .ring import RingBuffer
 
-LONGEST = 16 * 1024  # a message
-CHUNK = 16 * 1024  # one read of the transport
-IN_BOUND = 4 * CHUNK
-OUT_BOUND = 256 * 1024
-UNPRINTED = re.compile(r"[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]")  # what no text has
-OUT_HIGH = 64 * 1024  # reading pauses while more than this waits to go out
+MAX_MESSAGE_BYTES = 16 * 1024
+IO_CHUNK_BYTES = 16 * 1024  # passed to the receiver, or written to the transport, at a time
+INPUT_BUFFER_BYTES = 4 * IO_CHUNK_BYTES
+OUTPUT_BUFFER_BYTES = 256 * 1024
+CONTROL_CHARACTERS = re.compile(r"[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]")  # that no text contains: not tab, LF, CR
+OUTPUT_HIGH_WATER_BYTES = 64 * 1024  # reading pauses while more output than this is queued
 
-LINGER_S = 2.0  # what is queued has so long to go out once the connection is to end
+CLOSE_TIMEOUT_S = 2.0  # for queued output to be sent after a close; then the connection is aborted
 
 
 def log(text: str) -> None:
+    """Writes one line to standard output; errors are ignored."""
     try:
         sys.stdout.write(text + "\n")
         sys.stdout.flush()
     except OSError:
-        pass  # nobody reads the log any more: no reason to stop serving
+        pass  # the reader of the log has gone; that is no reason to stop serving
 
 
 def log_failure(event: dict) -> None:
-    """Observes Twisted's own log: a fault nobody caught is one line, with the place where it arose."""
+    """Observer of Twisted's log: writes an unhandled exception as one line, with the line that raised it."""
     failure = event.get("log_failure")
     if failure is not None:
-        frames = failure.getTracebackObject()
-        while frames is not None and frames.tb_next is not None:
-            frames = frames.tb_next
-        place = f"{frames.tb_frame.f_code.co_filename}:{frames.tb_lineno}" if frames else "-"
-        log(f"fault type={failure.type.__name__} at={place} detail={failure.getErrorMessage()[:160]!r}")
+        traceback = failure.getTracebackObject()
+        while traceback is not None and traceback.tb_next is not None:
+            traceback = traceback.tb_next
+        location = f"{traceback.tb_frame.f_code.co_filename}:{traceback.tb_lineno}" if traceback else "-"
+        log(f"fault type={failure.type.__name__} at={location} detail={failure.getErrorMessage()[:160]!r}")
 
 
 @implementer(IPushProducer)
 class Connection:
-    """Mixed in before one of Twisted's line or string receivers, which it feeds.
+    """Mixin that goes before one of Twisted's line or string receivers and passes input on to it.
 
-    `role` and `peer` name it in its log line; `code` is why it ended: the first reason given stands.
+    Subclasses set `clock` and may set `role` and `peer`, which identify the connection in its log line. Their
+    receiver callbacks count received messages in `taken`. `code` is why the connection ended (empty while it
+    is open); the first code given is kept. Times are microseconds on the monotonic clock: `made_at` is when
+    the connection was opened, `used_at` when it was last used: when data arrived, or as a subclass sets it.
     """
 
     role = "connection"
     peer = "-"
     code = ""
     detail = ""
-    held = False  # the transport takes no more for now
-    ended = False
-    feeding = False
-    linger = resting = None
-    paused = False  # nothing is read for now, so that others have their turn (LineReceiver's own name)
-    taken = 0
-    sent = 0
+    held = False  # the transport's buffer is full: nothing is written to it
+    closed = False  # connectionLost has run
+    processing_input = False  # process_input must not be entered again from a callback
+    abort_timer = read_pause_timer = None
+    paused = False  # reading is suspended so that other connections get their turn (LineReceiver's own name)
+    taken = 0  # messages received
+    messages_sent = 0
 
     def connectionMade(self) -> None:  # noqa: N802
-        self.inward = RingBuffer(IN_BOUND)
-        self.outward = RingBuffer(OUT_BOUND)
+        self.input_buffer = RingBuffer(INPUT_BUFFER_BYTES)
+        self.output_buffer = RingBuffer(OUTPUT_BUFFER_BYTES)
         self.made_at = self.clock.now_us()
         self.used_at = self.made_at
         address = self.transport.getPeer()
         if self.peer == "-":
             self.peer = f"{address.host}:{address.port}"
         self.transport.setTcpNoDelay(True)
-        self.transport.bufferSize = CHUNK
+        self.transport.bufferSize = IO_CHUNK_BYTES
         self.transport.registerProducer(self, True)
         super().connectionMade()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         self.used_at = self.clock.now_us()
-        if not self.inward.put(data):
+        if not self.input_buffer.append(data):
             self.end("in-overflow", at_once=True)
             return
-        self.feed()
+        self.process_input()
 
-    def feed(self) -> None:
-        if self.feeding:
+    def process_input(self) -> None:
+        """Passes buffered input to the receiver until the buffer is empty or reading has to pause."""
+        if self.processing_input:
             return
-        self.feeding = True
+        self.processing_input = True
         try:
-            while len(self.inward) and self.reads():
-                super().dataReceived(self.inward.take(CHUNK))
+            while len(self.input_buffer) and self.can_read():
+                super().dataReceived(self.input_buffer.consume(IO_CHUNK_BYTES))
         finally:
-            self.feeding = False
-        if not self.code and not self.reads():
+            self.processing_input = False
+        if not self.code and not self.can_read():
             self.transport.pauseProducing()
 
-    def reads(self) -> bool:
-        return not self.paused and len(self.outward) <= OUT_HIGH and not self.code
+    def can_read(self) -> bool:
+        return not self.paused and len(self.output_buffer) <= OUTPUT_HIGH_WATER_BYTES and not self.code
 
     def unread(self) -> bool:
-        """Whether something came that has not been looked at: a set-up in it counts as taken already."""
+        """Whether input has arrived that is not processed yet. A set-up in it already counts as accepted, so
+        such a connection is not closed to make room."""
         try:
-            return bool(len(self.inward) or self.transport.getHandle().recv(1, socket.MSG_PEEK))
+            return bool(len(self.input_buffer) or self.transport.getHandle().recv(1, socket.MSG_PEEK))
         except OSError:
             return False
 
-    def rest(self, seconds: float) -> None:
-        """Reads nothing for so long. What was read and not looked at waits in its ring, what was not read in
+    def pause_reading(self, seconds: float) -> None:
+        """Suspends reading. Input received but not processed stays in the input buffer, later input stays in
         the sender's machine."""
         if not self.paused and not self.code:
             self.paused = True
             self.transport.pauseProducing()
-            self.resting = self.clock.callLater(seconds, self.rested)
+            self.read_pause_timer = self.clock.callLater(seconds, self.resume_reading)
 
-    def rested(self) -> None:
+    def resume_reading(self) -> None:
         self.paused = False
-        if self.ended or self.code:
+        if self.closed or self.code:
             return
-        self.feeding = True
+        self.processing_input = True
         try:
-            super().dataReceived(b"")  # lines that the receiver itself has kept back
+            super().dataReceived(b"")  # processes the lines that the receiver itself has buffered
         finally:
-            self.feeding = False
-        self.feed()
-        if self.reads():
+            self.processing_input = False
+        self.process_input()
+        if self.can_read():
             self.transport.resumeProducing()
 
     def push(self, data: bytes) -> bool:
-        """Queues data to go out; overflow ends the connection."""
-        if self.ended or self.code:
+        """Queues one message for sending. False if the connection has ended or ends now by overflow of the
+        output buffer; True does not mean that the peer has received the message."""
+        if self.closed or self.code:
             return False
-        if not self.outward.put(data):
+        if not self.output_buffer.append(data):
             self.end("out-overflow", at_once=True)
             return False
-        self.sent += 1
-        self.drain()
+        self.messages_sent += 1
+        self.flush_output()
         return True
 
-    def drain(self) -> None:
-        while len(self.outward) and not self.held:
-            self.transport.write(self.outward.take(CHUNK))
+    def flush_output(self) -> None:
+        while len(self.output_buffer) and not self.held:
+            self.transport.write(self.output_buffer.consume(IO_CHUNK_BYTES))
 
     def pauseProducing(self) -> None:  # noqa: N802 (the transport's buffer is full)
         self.held = True
 
     def resumeProducing(self) -> None:  # noqa: N802
         self.held = False
-        self.drain()
-        if self.reads():
-            self.feed()
-        if self.reads():
+        self.flush_output()
+        if self.can_read():
+            self.process_input()
+        if self.can_read():
             self.transport.resumeProducing()
 
     def stopProducing(self) -> None:  # noqa: N802
         self.held = True
 
     def end(self, code: str, detail: str = "", at_once: bool = False) -> None:
-        """Closes the connection, for the reason given."""
-        if self.ended or self.code:
+        """Closes the connection; `code` and `detail` go into its log line. Queued output is sent first,
+        within CLOSE_TIMEOUT_S, unless `at_once` aborts the connection. Does nothing if it has ended."""
+        if self.closed or self.code:
             return
         self.code, self.detail = code, detail
         if at_once:
             self.transport.abortConnection()
         else:
             self.held = False
-            self.drain()
+            self.flush_output()
             self.transport.unregisterProducer()
             self.transport.loseConnection()
-            self.linger = self.clock.callLater(LINGER_S, self.transport.abortConnection)
+            self.abort_timer = self.clock.callLater(CLOSE_TIMEOUT_S, self.transport.abortConnection)
 
     def connectionLost(self, reason: Failure) -> None:  # noqa: N802
-        if self.ended:
+        if self.closed:
             return
-        self.ended = True
-        for timer in (self.linger, self.resting):
+        self.closed = True
+        for timer in (self.abort_timer, self.read_pause_timer):
             if timer is not None and timer.active():
                 timer.cancel()
         if not self.code:
@@ -182,12 +190,12 @@
             else:
                 self.code, self.detail = "io-error", repr(reason.value)
         age_ms = (self.clock.now_us() - self.made_at) // 1000
-        tail = " detail=" + repr(self.detail[:160]) if self.detail else ""
+        detail_field = " detail=" + repr(self.detail[:160]) if self.detail else ""
         log(
             f"end role={self.role} peer={self.peer} code={self.code} age_ms={age_ms} in={self.taken}"
-            f" out={self.sent}{tail}"
+            f" out={self.messages_sent}{detail_field}"
         )
         self.lost()
 
     def lost(self) -> None:
-        """For the kind of connection to settle what was open on it."""
+        """Called once after the connection has closed; subclasses clean up what was open on it."""
--- a/chutefork/net/driver.py
+++ b/chutefork/net/driver.py
@@ -1,4 +1,4 @@
-"""Carries events to the reducer in their order and its effects to the front and the legs."""
+"""Passes events to the reducer in order, and its effects to the caller side and the hub side."""
 
 from __future__ import annotations
 
@@ -12,10 +12,12 @@
 from .clock import TurnReactor
 from .connection import log
 
-fault = Logger()
+logger = Logger()
 
 
 class Front(Protocol):
+    """The side of the callers: sends them the results of their set-ups and the ends of their calls."""
+
     def answer(self, effect: messages.Answer) -> None: ...
     def refuse(self, effect: messages.Refuse) -> None: ...
     def fail(self, effect: messages.Fail) -> None: ...
@@ -23,21 +25,26 @@
 
 
 class Legs(Protocol):
+    """The side of the hubs: keeps the connections to them and sends set-ups and releases there."""
+
     def set_up(self, effect: messages.SetUp) -> None: ...
     def release(self, effect: messages.Release) -> None: ...
     def reach(self, effect: messages.UpdateHubConnection) -> None: ...
 
 
 class Driver:
+    """Runs the reducer: one event at a time, each event's effects carried out before the next event."""
+
     def __init__(self, state: State, clock: TurnReactor) -> None:
         self.state = state
         self.clock = clock
-        self.waiting: deque[messages.Event] = deque()
-        self.busy = False
-        self.wake = None
+        self.pending_events: deque[messages.Event] = deque()
+        self.running = False
+        self.wake_up_timer = None
 
     def attach(self, front: Front, legs: Legs) -> None:
-        self.doers = {
+        """Sets who carries out the effects; must be called before the first event."""
+        self.handlers = {
             messages.Answer: front.answer,
             messages.Refuse: front.refuse,
             messages.Fail: front.fail,
@@ -50,35 +57,37 @@
         }
 
     def later(self, event: messages.Event) -> None:
-        """An event found while an effect is carried out: it follows when all of these are done."""
-        self.waiting.append(event)
-        if not self.busy:
+        """Processes an event. One that arises while an effect is carried out is queued until all effects of
+        the present event are done; otherwise the event is processed before this returns."""
+        self.pending_events.append(event)
+        if not self.running:
             self.run()
 
     tell = later
 
     def run(self) -> None:
-        self.busy = True
+        self.running = True
         try:
-            while self.waiting:
-                event = self.waiting.popleft()
+            while self.pending_events:
+                event = self.pending_events.popleft()
                 try:
                     for effect in reduce(self.state, event, self.clock.now_us()):
-                        self.doers[type(effect)](effect)
+                        self.handlers[type(effect)](effect)
                 except Exception:
-                    # Guards the calls of everybody else against a fault met in one: its own answer still
-                    # comes, by the timer that was set when it was taken.
-                    fault.failure("event {event!r}", event=type(event).__name__)
+                    # Guards all other calls against an exception in one of them. That call still gets its
+                    # final answer, from the timer that was set when it was accepted.
+                    logger.failure("event {event!r}", event=type(event).__name__)
         finally:
-            self.busy = False
+            self.running = False
 
     def wake_at(self, effect: messages.WakeAt) -> None:
+        """Sets the one wake-up timer, replacing the time set before; the reducer gets WakeUpDue then."""
         delay_s = max(effect.at - self.clock.now_us(), 0) / 1e6
-        if self.wake is not None and self.wake.active():
-            self.wake.reset(delay_s)
+        if self.wake_up_timer is not None and self.wake_up_timer.active():
+            self.wake_up_timer.reset(delay_s)
         else:
-            self.wake = self.clock.callLater(delay_s, self.due)
+            self.wake_up_timer = self.clock.callLater(delay_s, self.wake_up)
 
-    def due(self) -> None:
-        self.wake = None
+    def wake_up(self) -> None:
+        self.wake_up_timer = None
         self.tell(messages.WakeUpDue())
--- a/chutefork/net/exchanges.py
+++ b/chutefork/net/exchanges.py
@@ -13,7 +13,7 @@
 
 from ..core import messages
 from ..interface import Outcome, Reason
-from .connection import LONGEST, UNPRINTED, Connection, log
+from .connection import CONTROL_CHARACTERS, MAX_MESSAGE_BYTES, Connection, log
 
 if TYPE_CHECKING:
     from .callers import CallerFront
@@ -79,7 +79,7 @@
 
 class ExchangeProtocol(Connection, Int16StringReceiver):
     role = "exchange"
-    MAX_LENGTH = LONGEST
+    MAX_LENGTH = MAX_MESSAGE_BYTES
     heard_at = wrote_at = 0
     gap_us = 0.0  # smoothed, between frames
     seen_mute = False
@@ -328,7 +328,9 @@
                 tell(messages.UnmatchedAnswer(call, name))
                 return
             description = parameters.get(DESCRIPTION, b"").decode("utf-8")
-            if not description or UNPRINTED.search(description):  # guards callers against a spoilt answer
+            if not description or CONTROL_CHARACTERS.search(
+                description
+            ):  # guards callers against a spoilt answer
                 raise ValueError("an answer whose description is no text")
             self.settled(call, stands=True)
             tell(messages.CallEstablished(call, name, description))
--- a/chutefork/net/http.py
+++ b/chutefork/net/http.py
@@ -1,4 +1,4 @@
-"""A client's side of HTTP/1.1 on one connection: one question at a time, answers by length or in chunks."""
+"""HTTP/1.1 client on one connection: one request at a time; bodies with a length or in chunks."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from twisted.internet.protocol import ClientFactory
 from twisted.protocols.basic import LineReceiver
 
-from .connection import LONGEST, Connection, log
+from .connection import MAX_MESSAGE_BYTES, Connection, log
 
 if TYPE_CHECKING:
     from twisted.internet.interfaces import IConnector
@@ -16,11 +16,16 @@
 
     from .clock import TurnReactor
 
-LARGEST = 4 * 1024 * 1024
+MAX_BODY_BYTES = 4 * 1024 * 1024
 
 
-class Asker(Protocol):
-    """Who asks on a connection. `answered` may raise ValueError and the like: the answer was not usable."""
+class Requester(Protocol):
+    """The user of a connection, whose `address` is `host:port`. `made` is called when the connection is open,
+    `answered` for each response, `lost` when the connection has closed or could not be made.
+
+    `answered` may raise ValueError, KeyError, TypeError, AttributeError, OverflowError or RecursionError
+    where the response is not usable; the connection is then closed with the code `bad-answer`.
+    """
 
     address: str
     role: str
@@ -31,145 +36,151 @@
 
 
 class HttpStream(Connection, LineReceiver):
+    """One client connection. Responses go to the requester, with header names in lower case."""
+
     delimiter = b"\r\n"
-    MAX_LENGTH = LONGEST
+    MAX_LENGTH = MAX_MESSAGE_BYTES
 
-    def __init__(self, asker: Asker, clock: TurnReactor) -> None:
-        self.asker = asker
+    def __init__(self, requester: Requester, clock: TurnReactor) -> None:
+        self.requester = requester
         self.clock = clock
-        self.role = asker.role
-        self.silence = None
-        self.asked = False
+        self.role = requester.role
+        self.response_timer = None
+        self.requested = False
         self.state = "idle"
 
     def connectionMade(self) -> None:  # noqa: N802
         super().connectionMade()
-        self.asker.made(self)
+        self.requester.made(self)
 
     def ask(
         self,
         method: str,
         path: str,
-        within_s: float,
+        timeout_s: float,
         body: bytes = b"",
         headers: tuple[tuple[str, str], ...] = (),
     ) -> None:
+        """Sends a request; the previous one must have been answered. Without a complete response within the
+        timeout the connection is aborted with the code `silent`."""
         self.state, self.length, self.chunked, self.headers = "status", -1, False, {}
-        self.parts: list[bytes] = []
-        self.missing = self.size = 0
+        self.body_parts: list[bytes] = []
+        self.part_remaining = self.body_size = 0
         lines = [
             f"{method} {path} HTTP/1.1",
-            f"Host: {self.asker.address}",
+            f"Host: {self.requester.address}",
             "Accept: application/json",
             *(f"{name}: {value}" for name, value in headers),
         ]
         if body or method != "GET":
             lines.append(f"Content-Length: {len(body)}")
-        self.silence = self.clock.callLater(within_s, self.end, "silent", at_once=True)
+        self.response_timer = self.clock.callLater(timeout_s, self.end, "silent", at_once=True)
         self.push("\r\n".join([*lines, "", ""]).encode() + body)
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
         if self.state == "status":
-            words = line.split(b" ")
-            if len(words) < 2 or not words[0].startswith(b"HTTP/1.") or not words[1].isdigit():
+            fields = line.split(b" ")
+            if len(fields) < 2 or not fields[0].startswith(b"HTTP/1.") or not fields[1].isdigit():
                 self.end("bad-answer", repr(line[:80]))
                 return
-            self.status, self.state = int(words[1]), "headers"
+            self.status, self.state = int(fields[1]), "headers"
         elif self.state == "headers" and line:
             name, _, value = line.decode("latin-1").partition(":")
             self.headers[name.strip().lower()] = value.strip()
         elif self.state == "headers":
-            self.body_begins()
+            self.headers_complete()
         elif self.state == "chunk-size":
             try:
-                self.begin_part(int(line.split(b";")[0], 16))
+                self.start_part(int(line.split(b";")[0], 16))
             except ValueError:
-                self.end("bad-answer", "chunk size")
+                self.end("bad-answer", "invalid chunk size")
         elif self.state == "chunk-end":
             self.state = "chunk-size"
         elif self.state == "trailer" and not line:
-            self.whole()
+            self.response_complete()
         elif self.state == "idle":
-            self.end("bad-answer", "unasked")
+            self.end("bad-answer", "data without a request")
 
-    def body_begins(self) -> None:
+    def headers_complete(self) -> None:
         length = self.headers.get("content-length", "")
         if self.status // 100 == 1:
             self.state = "status"
         elif self.headers.get("transfer-encoding", "").lower() == "chunked":
             self.chunked, self.state = True, "chunk-size"
         elif length.isdigit() and int(length):
-            self.begin_part(int(length))
+            self.start_part(int(length))
         elif length == "0" or self.status in (204, 304):
-            self.whole()
+            self.response_complete()
         else:
-            self.end("bad-answer", "no length")
+            self.end("bad-answer", "response without a length")
 
-    def begin_part(self, size: int) -> None:
-        self.size += size
-        if size < 0 or self.size > LARGEST:
-            self.end("bad-answer", "too large")
+    def start_part(self, size: int) -> None:
+        """Begins a chunk, or the whole of a body with a length; size 0 is the last chunk."""
+        self.body_size += size
+        if size < 0 or self.body_size > MAX_BODY_BYTES:
+            self.end("bad-answer", "body too large")
         elif size:
-            self.missing = size
+            self.part_remaining = size
             self.setRawMode()
         else:
             self.state = "trailer"
 
     def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
-        part, rest = data[: self.missing], data[self.missing :]
-        self.parts.append(part)
-        self.missing -= len(part)
-        if self.missing:
+        part, rest = data[: self.part_remaining], data[self.part_remaining :]
+        self.body_parts.append(part)
+        self.part_remaining -= len(part)
+        if self.part_remaining:
             return
         if self.chunked:
             self.state = "chunk-end"
         else:
-            self.whole()
+            self.response_complete()
         if not self.code:
             self.setLineMode(rest)
 
     def lineLengthExceeded(self, line: bytes) -> None:  # noqa: N802
-        self.end("long-line", f"over {LONGEST} bytes")
+        self.end("long-line", f"over {MAX_MESSAGE_BYTES} bytes")
 
-    def whole(self) -> None:
+    def response_complete(self) -> None:
         self.taken += 1
-        self.calm()
+        self.cancel_response_timer()
         self.state = "idle"
         closing = self.headers.get("connection", "").lower() == "close"
         try:
-            self.asker.answered(self.status, self.headers, b"".join(self.parts))
-        except (ValueError, KeyError, TypeError, AttributeError, OverflowError, RecursionError) as fault:
-            self.end("bad-answer", f"{type(fault).__name__}: {fault}")
+            self.requester.answered(self.status, self.headers, b"".join(self.body_parts))
+        except (ValueError, KeyError, TypeError, AttributeError, OverflowError, RecursionError) as exc:
+            self.end("bad-answer", f"{type(exc).__name__}: {exc}")
             return
         if closing and not self.code:
             self.end("asked-to-close")
 
-    def calm(self) -> None:
-        if self.silence is not None and self.silence.active():
-            self.silence.cancel()
-        self.silence = None
+    def cancel_response_timer(self) -> None:
+        if self.response_timer is not None and self.response_timer.active():
+            self.response_timer.cancel()
+        self.response_timer = None
 
     def lost(self) -> None:
-        self.calm()
-        self.asker.lost()
+        self.cancel_response_timer()
+        self.requester.lost()
 
 
-class _Connector(ClientFactory):
+class _StreamFactory(ClientFactory):
     noisy = False
 
-    def __init__(self, asker: Asker, clock: TurnReactor) -> None:
-        self.asker = asker
+    def __init__(self, requester: Requester, clock: TurnReactor) -> None:
+        self.requester = requester
         self.clock = clock
 
     def buildProtocol(self, addr: object) -> HttpStream:  # noqa: N802
-        return HttpStream(self.asker, self.clock)
+        return HttpStream(self.requester, self.clock)
 
     def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:  # noqa: N802
-        place, code = connector.getDestination(), "moved" if reason.check(error.UserError) else "unreached"
-        log(f"end role={self.asker.role} peer={place.host}:{place.port} code={code} age_ms=0 in=0 out=0")
-        self.asker.lost()
+        peer, code = connector.getDestination(), "moved" if reason.check(error.UserError) else "unreached"
+        log(f"end role={self.requester.role} peer={peer.host}:{peer.port} code={code} age_ms=0 in=0 out=0")
+        self.requester.lost()
 
 
-def connect(asker: Asker, clock: TurnReactor, timeout_s: float = 1.0) -> IConnector:
-    host, _, port = asker.address.rpartition(":")
-    return clock.connectTCP(host, int(port), _Connector(asker, clock), timeout=timeout_s)
+def connect(requester: Requester, clock: TurnReactor, timeout_s: float = 1.0) -> IConnector:
+    """Opens a connection to the requester's address; its `made` or its `lost` is called later."""
+    host, _, port = requester.address.rpartition(":")
+    return clock.connectTCP(host, int(port), _StreamFactory(requester, clock), timeout=timeout_s)
--- a/chutefork/net/ring.py
+++ b/chutefork/net/ring.py
@@ -1,53 +1,57 @@
-"""A bounded ring buffer of bytes. Its room grows as needed, so that idle connections cost little."""
+"""A bounded ring buffer of bytes. Its storage grows as needed, so that idle connections use little memory."""
 
 from __future__ import annotations
 
 
 class RingBuffer:
-    SMALLEST = 1024
+    """First-in, first-out buffer of at most `limit` bytes; storage doubles as needed, shrinks once empty."""
 
-    def __init__(self, bound: int) -> None:
-        self.bound = bound
-        self.room = bytearray(min(self.SMALLEST, bound))
+    MIN_CAPACITY = 1024  # bytes
+
+    def __init__(self, limit: int) -> None:
+        self.limit = limit
+        self.storage = bytearray(min(self.MIN_CAPACITY, limit))
         self.start = 0
         self.size = 0
 
     def __len__(self) -> int:
         return self.size
 
-    def put(self, data: bytes) -> bool:
-        """Takes all of the data or, where it would pass the bound, none."""
+    def append(self, data: bytes) -> bool:
+        """Stores all of the data; if that would exceed the limit, stores nothing and returns False."""
         needed = self.size + len(data)
-        if needed > self.bound:
+        if needed > self.limit:
             return False
-        if needed > len(self.room):
+        if needed > len(self.storage):
             self._grow(needed)
-        at = (self.start + self.size) % len(self.room)
-        first = min(len(data), len(self.room) - at)
-        self.room[at : at + first] = data[:first]
-        self.room[: len(data) - first] = data[first:]
+        position = (self.start + self.size) % len(self.storage)
+        before_wrap = min(len(data), len(self.storage) - position)
+        self.storage[position : position + before_wrap] = data[:before_wrap]
+        self.storage[: len(data) - before_wrap] = data[before_wrap:]
         self.size = needed
         return True
 
-    def take(self, most: int) -> bytes:
-        """The oldest bytes, at most so many."""
-        count = min(most, self.size)
-        first = min(count, len(self.room) - self.start)
-        data = bytes(self.room[self.start : self.start + first]) + bytes(self.room[: count - first])
-        self.start = (self.start + count) % len(self.room)
+    def consume(self, max_bytes: int) -> bytes:
+        """Removes and returns the oldest bytes, at most `max_bytes` of them."""
+        count = min(max_bytes, self.size)
+        before_wrap = min(count, len(self.storage) - self.start)
+        data = bytes(self.storage[self.start : self.start + before_wrap]) + bytes(
+            self.storage[: count - before_wrap]
+        )
+        self.start = (self.start + count) % len(self.storage)
         self.size -= count
         if not self.size:
             self.start = 0
-            if len(self.room) > self.SMALLEST:
-                self.room = bytearray(min(self.SMALLEST, self.bound))
+            if len(self.storage) > self.MIN_CAPACITY:
+                self.storage = bytearray(min(self.MIN_CAPACITY, self.limit))
         return data
 
     def _grow(self, needed: int) -> None:
-        length = len(self.room)
-        while length < needed:
-            length *= 2
-        held = self.size
-        data = self.take(held)
-        self.room = bytearray(min(length, self.bound))
-        self.room[:held] = data
-        self.start, self.size = 0, held
+        capacity = len(self.storage)
+        while capacity < needed:
+            capacity *= 2
+        size = self.size
+        data = self.consume(size)
+        self.storage = bytearray(min(capacity, self.limit))
+        self.storage[:size] = data
+        self.start, self.size = 0, size
