--- a/chutefork/net/callers.py
+++ b/chutefork/net/callers.py
@@ -1,4 +1,4 @@
-"""The front of the platform's protocol: callers' JSON lines."""
+"""The caller side of the platform's protocol: callers' JSON lines."""
 
 from __future__ import annotations
 
@@ -18,33 +18,39 @@
     from .driver import Driver
 
 UID = re.compile(r"[0-9a-fA-F]{16}\Z")
-REFUSED = 42  # the causes of this wire: refused, failed, lines busy, the call's own end, cut
-NO_CIRCUIT = 34
-FAILED = 41
-ENDED = 16
-IDLE_US = 5_000_000  # callers close such a connection themselves after 4 s
-UNUSED_US = 2_000_000  # nothing usable by then: whoever connected is owed a word or a close within 3 s
-SWEEP_S = 0.5
-TURN = 16  # lines of one connection in one turn of the loop
-BAD_REST_S = 0.25  # after a set-up that cannot be taken its connection is not read for so long
-MOST_BAD = 8  # such set-ups on one connection
-MOST_OPEN = 512  # set-ups without an answer, on one connection
-CALLERS_SHARE = 3 / 4  # of the descriptors; the rest is for exchanges, the command channel and the program
-BUFFERS_SHARE = 1 / 4  # of the memory, for what waits to go out to callers
-LEFT_SLACK = 1.1  # a caller's time over the longest deadline of the settings
-OWED_PER_MB = 50  # set-ups without an answer, on all connections, a megabyte of the memory
-BODIES_SHARE = 1 / 8  # of the memory, for their descriptions
-FRAME_ROOM = 64  # what a set-up takes in a frame beside its texts
-MOST_CHECKS = 64
-MOST_UNSENT = 10_000
-
-
-def line_of(kind: str, uid: str, meta: dict | None = None, **more: object) -> bytes:
-    record = {"kind": kind, "uid": uid, "meta": meta or {}, **more}
+# Cause numbers of this protocol
+CAUSE_REFUSED = 42  # also where all lines of the number are busy
+CAUSE_NO_CIRCUIT = 34
+CAUSE_FAILED = 41  # also for a call that was cut
+CAUSE_ENDED = 16  # the call's normal end
+IDLE_TIMEOUT_US = 5_000_000  # callers close an idle connection themselves after 4 s
+# Without a usable message by then the connection is closed: a peer must get an answer or a close within 3 s.
+UNUSED_TIMEOUT_US = 2_000_000
+SWEEP_INTERVAL_S = 0.5
+MAX_LINES_PER_ITERATION = 16  # of one connection, in one event-loop iteration
+BAD_SETUP_PAUSE_S = 0.25  # reading from a connection pauses for so long after an unusable set-up
+MAX_BAD_SETUPS = 8  # on one connection
+MAX_UNANSWERED_PER_CONNECTION = 512  # set-ups
+CALLER_SOCKETS_SHARE = (
+    3 / 4
+)  # of the descriptors; the rest is for exchanges, the command channel and the program
+OUTPUT_MEMORY_SHARE = 1 / 4  # of the memory, for output queued to callers
+TIME_LEFT_MARGIN = 1.1  # factor over the longest configured deadline that a caller's time may reach
+MAX_UNANSWERED_PER_MB = 50  # set-ups on all connections, per megabyte of memory
+DESCRIPTION_MEMORY_SHARE = 1 / 8  # of the memory, for the descriptions of unanswered set-ups
+FRAME_OVERHEAD_BYTES = 64  # of a set-up in an exchange's frame, besides its texts
+MAX_WAITING_CHECKS = 64
+MAX_UNSENT_RELEASES = 10_000
+
+
+def encode_line(kind: str, uid: str, meta: dict | None = None, **fields: object) -> bytes:
+    record = {"kind": kind, "uid": uid, "meta": meta or {}, **fields}
     return json.dumps(record, separators=(",", ":")).encode() + b"\n"
 
 
 class CallerProtocol(Connection, LineReceiver):
+    """One connection of a caller; reads its lines and limits what it can use of the program."""
+
     role = "caller"
     delimiter = b"\n"
     MAX_LENGTH = MAX_MESSAGE_BYTES
@@ -52,220 +58,242 @@
     def __init__(self, front: CallerFront) -> None:
         self.front = front
         self.clock = front.clock
-        self.open: dict[int, str] = {}  # set-ups without their final answer: call -> uid as written
-        self.waiting: dict[int, messages.Arrival] = {}  # those of them that the core has not been told of yet
-        self.proven = False  # something usable has come
-        self.stood = 0  # calls that stood for it
-        self.bad = 0  # set-ups that could not be taken
-        self.turn_at = self.turn = 0  # lines taken in the present turn
-        self.stuck: list[bytes] = []  # releases in the buffer of a peer that takes nothing
+        self.unanswered: dict[int, str] = {}  # set-ups without a final answer: call -> uid as written
+        self.undispatched: dict[int, messages.Arrival] = {}  # those of them not yet passed to the core
+        self.used = False  # a usable message has come
+        self.calls_carried = 0  # calls established for this connection
+        self.bad_setups = 0
+        self.counted_at = self.lines_counted = 0  # lines in the present event-loop iteration
+        self.buffered_releases: list[bytes] = []  # in the output buffer of a peer that does not read
 
     def connectionMade(self) -> None:  # noqa: N802
         super().connectionMade()
-        self.acted_at = self.made_at
+        self.last_line_at = self.made_at
         self.front.connections[self] = None
-        self.front.crowd()
+        self.front.limit_connections()
 
     def process_input(self) -> None:
         super().process_input()
         self.dispatch()
 
     def unread(self) -> bool:
-        return self.paused and not self.bad or super().unread()
+        """A connection whose reading is paused counts too, unless the pause is for bad set-ups."""
+        return self.paused and not self.bad_setups or super().unread()
 
     def dispatch(self) -> None:
-        """Set-ups go on once what came with them is read: many that are taken back at once never leave."""
-        while self.waiting and not self.processing_input and not self.code:
-            self.front.driver.tell(self.waiting.pop(next(iter(self.waiting))))
+        """Passes set-ups to the core once all input that arrived with them is processed: many are withdrawn at
+        once, and those are then never sent to an exchange."""
+        while self.undispatched and not self.processing_input and not self.code:
+            self.front.driver.tell(self.undispatched.pop(next(iter(self.undispatched))))
 
     def push(self, data: bytes) -> bool:
         if (
-            len(self.output_buffer) + len(data) > self.front.share
-            and self.front.buffered() > self.front.budget
+            len(self.output_buffer) + len(data) > self.front.output_share
+            and self.front.buffered_bytes() > self.front.output_limit
         ):
-            # guards the memory against many who take nothing: each beyond its share goes once all is in use
+            # Guards the memory against many peers that do not read: once the limit for all of them is
+            # reached, each connection beyond its own share is closed.
             self.end("out-overflow", "memory for callers", at_once=True)
         return super().push(data)
 
-    def struck(self, uid: str) -> None:
-        """Guards the loop against a peer that sends what cannot be taken, again and again: it has its answer,
-        and is read on after a rest; in the end its connection is closed."""
-        self.bad += 1
-        self.push(line_of("stop", uid, reason=FAILED))
-        if self.bad >= MOST_BAD:
-            self.end("bad-setups", f"{self.bad} set-ups that cannot be taken")
+    def reject_bad_setup(self, uid: str) -> None:
+        """Answers an unusable set-up with a failure. Guards the event loop against a peer that keeps sending
+        them: reading from it pauses after each, and after MAX_BAD_SETUPS its connection is closed."""
+        self.bad_setups += 1
+        self.push(encode_line("stop", uid, reason=CAUSE_FAILED))
+        if self.bad_setups >= MAX_BAD_SETUPS:
+            self.end("bad-setups", f"{self.bad_setups} unusable set-ups")
         else:
-            self.pause_reading(BAD_REST_S)
+            self.pause_reading(BAD_SETUP_PAUSE_S)
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
         self.taken += 1
         now = self.clock.now_us()
-        self.turn = self.turn + 1 if self.turn_at == now else 1
-        self.turn_at = now
-        if self.turn >= TURN:  # guards the turns of the others against a flood on one connection
+        self.lines_counted = self.lines_counted + 1 if self.counted_at == now else 1
+        self.counted_at = now
+        if self.lines_counted >= MAX_LINES_PER_ITERATION:
+            # guards the other connections against being kept waiting by a flood on one
             self.pause_reading(0)
         try:
             record = json.loads(line)
             kind, uid = record["kind"], record.get("uid", "")
             if not isinstance(kind, str) or not isinstance(uid, str):
                 raise TypeError("kind and uid must be strings")
-        except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as fault:
-            self.end("bad-line", f"{type(fault).__name__}: {fault}")
+        except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as exc:
+            self.end("bad-line", f"{type(exc).__name__}: {exc}")
             return
-        self.acted_at = now
+        self.last_line_at = now
         if kind == "check":
-            self.proven = True
+            self.used = True
             self.front.check(self, uid)
             return
         if kind not in ("launch", "stop"):
-            return  # progress, release heard and whatever a later day adds mean nothing here
+            return  # progress, acknowledged releases and kinds of later protocol versions need no action here
         if not UID.match(uid):
             self.end("bad-line", "uid is not 16 hex digits")
         elif kind == "launch":
             self.front.launch(self, int(uid, 16), uid, record)
         else:
-            self.front.stop(int(uid, 16))
+            self.front.withdraw(int(uid, 16))
 
     def resumeProducing(self) -> None:  # noqa: N802
         super().resumeProducing()
         if not self.output_buffer:
-            self.stuck.clear()
+            self.buffered_releases.clear()
 
     def lineLengthExceeded(self, line: bytes) -> None:  # noqa: N802
         self.end("long-line", f"over {MAX_MESSAGE_BYTES} bytes")
 
     def lost(self) -> None:
-        self.front.lost(self)
+        self.front.connection_lost(self)
 
 
 class CallerFront:
+    """All callers' connections: accepts set-ups within the limits of memory and descriptors, and sends each
+    its final answer and each established call its end."""
+
     def __init__(self, driver: Driver, config: Config, clock: TurnReactor) -> None:
         self.driver = driver
         self.clock = clock
-        self.classes = {name: place for place, name in enumerate(config.class_names)}
-        self.tenants = {name: place for place, name in enumerate(config.tenant_names)}
+        self.classes = {name: index for index, name in enumerate(config.class_names)}
+        self.tenants = {name: index for index, name in enumerate(config.tenant_names)}
         self.widths = [item.width_circuits for item in config.settings.classes]
-        self.most = max(round(config.sockets * CALLERS_SHARE), 1)
-        self.budget = round(config.memory_mb * 2**20 * BUFFERS_SHARE)
-        self.share = self.budget // self.most
-        self.longest_ms = config.deadline_s * 1000 * LEFT_SLACK
-        self.connections: dict[CallerProtocol, None] = {}  # in the order of their making
-        self.owed: dict[int, CallerProtocol] = {}  # set-ups: where the final answer goes
-        self.standing: dict[int, tuple[CallerProtocol, str]] = {}
-        self.unsent: list[bytes] = []  # releases for which no connection was open
-        self.bodies: dict[int, tuple[str, str, str]] = {}  # class, number and description as given
-        self.body_room = round(config.memory_mb * 2**20 * BODIES_SHARE)
-        self.most_owed = round(config.memory_mb * OWED_PER_MB)
-        hint_ms = round(config.settings.max_hold_off_s * 1000) if config.settings.hold_off_allowed else 0
-        self.hint = {"wait": str(hint_ms)} if hint_ms else {}  # where a caller has too many set-ups open
-        self.crowded_at = 0  # room is about to be made for what came in that turn
+        self.max_connections = max(round(config.sockets * CALLER_SOCKETS_SHARE), 1)
+        self.output_limit = round(config.memory_mb * 2**20 * OUTPUT_MEMORY_SHARE)  # bytes, all connections
+        self.output_share = self.output_limit // self.max_connections  # bytes, one connection
+        self.max_time_left_ms = config.deadline_s * 1000 * TIME_LEFT_MARGIN
+        self.connections: dict[CallerProtocol, None] = {}  # oldest first
+        self.owed: dict[int, CallerProtocol] = {}  # unanswered set-ups: call -> where the final answer goes
+        self.standing: dict[int, tuple[CallerProtocol, str]] = {}  # established calls: -> connection, uid
+        self.unsent_releases: list[bytes] = []  # for which no connection was open
+        self.setup_texts: dict[int, tuple[str, str, str]] = {}  # class, number called, description as given
+        self.description_room = round(config.memory_mb * 2**20 * DESCRIPTION_MEMORY_SHARE)  # bytes left
+        self.max_unanswered = round(config.memory_mb * MAX_UNANSWERED_PER_MB)
+        wait_ms = round(config.settings.max_hold_off_s * 1000) if config.settings.hold_off_allowed else 0
+        self.overload_meta = {"wait": str(wait_ms)} if wait_ms else {}  # for refusals by the limits here
+        self.eviction_at = 0  # the iteration whose new connections are about to be evicted for; 0: none
         self.ready = False
         self.leaving = False
-        self.checks: list[tuple[CallerProtocol, str]] = []  # asked before this program was ready
+        self.waiting_checks: list[tuple[CallerProtocol, str]] = []  # received before the program was ready
         self.factory = Factory.forProtocol(lambda: CallerProtocol(self))
         self.factory.noisy = False
 
     def check(self, connection: CallerProtocol, uid: str) -> None:
-        """Answered only once the list of exchanges is known and each of them has been tried."""
+        """Answers a health check; not before the list of exchanges is known and a connection to each of them
+        has been tried."""
         if self.ready:
-            connection.push(line_of("checked", uid, reason=0 if self.leaving else 1))
-        elif len(self.checks) < MOST_CHECKS:
-            self.checks.append((connection, uid))
+            connection.push(encode_line("checked", uid, reason=0 if self.leaving else 1))
+        elif len(self.waiting_checks) < MAX_WAITING_CHECKS:
+            self.waiting_checks.append((connection, uid))
 
     def be_ready(self) -> None:
+        """Answers the waiting health checks, and later ones at once."""
         self.ready = True
-        checks, self.checks = self.checks, []
+        checks, self.waiting_checks = self.waiting_checks, []
         for connection, uid in checks:
             self.check(connection, uid)
 
     def sweep(self) -> None:
-        """Guards against callers that vanish without a word: their descriptors would be held for ever."""
-        now, busy = self.clock.now_us(), {place[0] for place in self.standing.values()}
+        """Closes unused and idle connections, now and every SWEEP_INTERVAL_S. Guards against callers that
+        vanish without closing theirs, which would hold descriptors for ever."""
+        now, with_calls = self.clock.now_us(), {origin[0] for origin in self.standing.values()}
         for connection in list(self.connections):
-            if connection.open or connection.code:
+            if connection.unanswered or connection.code:
                 continue
-            if not connection.proven and now - connection.made_at > UNUSED_US:
+            if not connection.used and now - connection.made_at > UNUSED_TIMEOUT_US:
                 connection.end("unused")
             elif (
-                connection not in busy
+                connection not in with_calls
                 and not connection.unread()
-                and now - connection.acted_at > (IDLE_US if connection.stood else UNUSED_US)
+                and now - connection.last_line_at
+                > (IDLE_TIMEOUT_US if connection.calls_carried else UNUSED_TIMEOUT_US)
             ):
                 connection.end("idle")
-        self.clock.callLater(SWEEP_S, self.sweep)
+        self.clock.callLater(SWEEP_INTERVAL_S, self.sweep)
 
-    def buffered(self) -> int:
+    def buffered_bytes(self) -> int:
         return sum(len(item.output_buffer) for item in self.connections)
 
-    def crowd(self) -> None:
-        """Room is made once for all that came in a turn: in a flood each look at all of them costs time."""
-        if not self.crowded_at and self.live() > self.most:
-            self.crowded_at = self.clock.now_us()
-            self.clock.callLater(0, self.make_room)
+    def limit_connections(self) -> None:
+        """Schedules an eviction if there are too many connections: one for all that were accepted in an
+        event-loop iteration, since each looks at every connection, which costs time in a flood."""
+        if not self.eviction_at and self.open_connections() > self.max_connections:
+            self.eviction_at = self.clock.now_us()
+            self.clock.callLater(0, self.evict_connections)
 
-    def live(self) -> int:
+    def open_connections(self) -> int:
         return sum(not item.code for item in self.connections)
 
-    def make_room(self) -> None:
-        """Guards the descriptors against connections by the hundred: of those with no set-up open the ones go
-        that matter least: nothing usable has come, then nothing but tests and refused set-ups, then the
-        longest idle. What has carried a call ends in order: its last answer may still be on its way. Guards
-        what lies unread, too, and what has just come: in a flood the loop is late, and a set-up in there
-        would be lost. Where there is nothing else, the newest goes."""
-        crowded_at, self.crowded_at = self.crowded_at, 0
-        over, busy = self.live() - self.most, {place[0] for place in self.standing.values()}
+    def evict_connections(self) -> None:
+        """Closes connections over the limit. Guards the descriptors against hundreds of connections at once.
+
+        Connections without an unanswered set-up are closed, the least important first: those that have sent
+        nothing usable, then those with nothing but checks and refused set-ups, then the longest idle.
+        Connections that have sent something usable are closed in order, not aborted: their last answer may
+        still be on its way. Connections with unread input and those just accepted are spared, since in a
+        flood the loop is late and a set-up in that input would be lost. Where there are no others, the newest
+        of those are closed, again the unused ones first.
+        """
+        eviction_at, self.eviction_at = self.eviction_at, 0
+        excess, with_calls = (
+            self.open_connections() - self.max_connections,
+            {origin[0] for origin in self.standing.values()},
+        )
         idle = sorted(
-            (item for item in self.connections if not (item.open or item.code)),
-            key=lambda item: (item.proven, item.stood > 0, item in busy, item.acted_at),
+            (item for item in self.connections if not (item.unanswered or item.code)),
+            key=lambda item: (item.used, item.calls_carried > 0, item in with_calls, item.last_line_at),
         )
-        kept = []
+        spared = []
         for item in idle:
-            if over <= 0:
+            if excess <= 0:
                 return
-            if item.made_at == crowded_at or item.unread():
-                kept.append(item)
+            if item.made_at == eviction_at or item.unread():
+                spared.append(item)
                 continue
-            item.end("crowded", at_once=not item.proven)
-            over -= 1
-        kept.sort(key=lambda item: (item.proven, -item.made_at))
-        for item in kept[: max(over, 0)]:
-            item.end("crowded", at_once=not item.proven)
+            item.end("crowded", at_once=not item.used)
+            excess -= 1
+        spared.sort(key=lambda item: (item.used, -item.made_at))
+        for item in spared[: max(excess, 0)]:
+            item.end("crowded", at_once=not item.used)
 
     def launch(self, connection: CallerProtocol, call: int, uid: str, record: dict) -> None:
+        """Accepts a set-up, or answers it here: as failed if it is unusable, as refused over the limits."""
         try:
-            arrival, passed = self.read(call, record)
-            first = self.owed.get(call) or self.standing.get(call, (None,))[0]
-            if first is connection and self.bodies.get(call) == passed:
-                return  # the same once more: the first is the one that is answered
-            if first is connection:
-                # one answer could not be told from the other's, nor from a release: both end here
+            arrival, texts = self.parse_setup(call, record)
+            owner = self.owed.get(call) or self.standing.get(call, (None,))[0]
+            if owner is connection and self.setup_texts.get(call) == texts:
+                return  # a duplicate: the first one is answered
+            if owner is connection:
+                # The answers to the two, or an answer and a release, could not be told apart: both end here.
                 connection.end("id-reused", f"uid {uid}")
                 return
-            if first is not None:
-                raise ValueError("the id is that of an open call")
-        except (ValueError, KeyError, TypeError, AttributeError, OverflowError) as fault:
-            if not connection.bad:
-                log(f"bad-setup uid={uid} peer={connection.peer} detail={str(fault)[:120]!r}")
-            connection.struck(uid)
+            if owner is not None:
+                raise ValueError("uid is in use by an open call")
+        except (ValueError, KeyError, TypeError, AttributeError, OverflowError) as exc:
+            if not connection.bad_setups:
+                log(f"bad-setup uid={uid} peer={connection.peer} detail={str(exc)[:120]!r}")
+            connection.reject_bad_setup(uid)
             return
-        connection.proven = True
-        if self.unsent:
-            self.flush(connection)
+        connection.used = True
+        if self.unsent_releases:
+            self.send_unsent_releases(connection)
         if (
-            len(connection.open) >= MOST_OPEN
-            or len(self.owed) >= self.most_owed
-            or len(passed[2]) > self.body_room
-        ):  # guards the memory against set-ups by the thousand
-            connection.push(line_of("stop", uid, self.hint, reason=NO_CIRCUIT))
+            len(connection.unanswered) >= MAX_UNANSWERED_PER_CONNECTION
+            or len(self.owed) >= self.max_unanswered
+            or len(texts[2]) > self.description_room
+        ):  # guards the memory against thousands of set-ups
+            connection.push(encode_line("stop", uid, self.overload_meta, reason=CAUSE_NO_CIRCUIT))
             return
         self.owed[call] = connection
-        connection.open[call] = uid
-        self.bodies[call] = passed
-        self.body_room -= len(passed[2])
-        connection.waiting[call] = arrival
+        connection.unanswered[call] = uid
+        self.setup_texts[call] = texts
+        self.description_room -= len(texts[2])
+        connection.undispatched[call] = arrival
         connection.dispatch()
 
-    def read(self, call: int, record: dict) -> tuple[messages.Arrival, tuple[str, str, str]]:
+    def parse_setup(self, call: int, record: dict) -> tuple[messages.Arrival, tuple[str, str, str]]:
+        """The arrival for the core, and the class, number called and description for the exchange. Raises
+        ValueError, KeyError, TypeError or OverflowError for an unusable set-up."""
         meta, body = record.get("meta"), record.get("body", "")
         if not isinstance(meta, dict) or not isinstance(body, str):
             raise TypeError("meta must be an object and body a string")
@@ -273,20 +301,20 @@
         name = str(meta["class"])
         if name not in self.classes:
             raise ValueError(f"class {name!r} is not in the settings")
-        place = self.classes[name]
+        class_index = self.classes[name]
         left_ms = float(meta["left"])
-        if not 0 <= left_ms <= self.longest_ms:
+        if not 0 <= left_ms <= self.max_time_left_ms:
             raise ValueError(f"left {left_ms!r} is out of range")
         tenant = str(meta.get("tenant", ""))
         if tenant not in self.tenants and (tenant or self.tenants):
             raise ValueError(f"tenant {tenant!r} is not in the settings")
         key = str(meta.get("key", ""))
         if not re.fullmatch(r"[0-9a-fA-F]{1,16}", key):
-            raise ValueError(f"key {key[:20]!r} is not a number called")
+            raise ValueError(f"key {key[:20]!r} is not 1 to 16 hex digits")
         arrival = messages.Arrival(
             call,
-            place,
-            float(extras.get("width", self.widths[place])),
+            class_index,
+            float(extras.get("width", self.widths[class_index])),
             int(left_ms * 1000),
             self.tenants.get(tenant, 0),
             int(key, 16),
@@ -296,94 +324,100 @@
             False,
             int(float(extras.get("via", -1))),
         )
-        body.encode()  # a lone surrogate can be read as JSON and sent by nobody
-        if arrival.width_circuits != self.widths[place]:
-            raise ValueError(f"width {arrival.width_circuits!r} is not the class's")
+        body.encode()  # raises for a lone surrogate, which JSON can hold but UTF-8 cannot
+        if arrival.width_circuits != self.widths[class_index]:
+            raise ValueError(f"width {arrival.width_circuits!r} differs from that of the class")
         if arrival.destination < 0 or arrival.advice < -1:
-            raise ValueError("an exchange's number is out of range")
-        # guards the calls of others: an exchange closes its connection on a set-up that it cannot read
+            raise ValueError("dest or via is out of range")
+        # Guards the other calls on the exchange's connection: it closes that on a set-up it cannot read.
         if not body or CONTROL_CHARACTERS.search(body):
-            raise ValueError("no description, or no text")
-        if len(name) + len(key) + len(body.encode()) + FRAME_ROOM > MAX_MESSAGE_BYTES:
-            raise ValueError("too long for an exchange")
+            raise ValueError("body is empty or has control characters")
+        if len(name) + len(key) + len(body.encode()) + FRAME_OVERHEAD_BYTES > MAX_MESSAGE_BYTES:
+            raise ValueError("set-up is too long for an exchange's frame")
         return arrival, (name, key, body)
 
-    def stop(self, call: int) -> None:
-        """A set-up given up, or a call that stands hung up; on whichever connection it comes."""
+    def withdraw(self, call: int) -> None:
+        """Withdraws a set-up or hangs up an established call; the request may come on any connection."""
         connection = self.owed.pop(call, None)
         if connection is not None:
-            connection.open.pop(call, None)
-            connection.proven = True
-            self.forget(call)
-            if connection.waiting.pop(call, None) is not None:
+            connection.unanswered.pop(call, None)
+            connection.used = True
+            self.discard_texts(call)
+            if connection.undispatched.pop(call, None) is not None:
                 return
         if connection is not None or self.standing.pop(call, None) is not None:
             self.driver.tell(messages.Withdrawn(call))
 
-    def lost(self, connection: CallerProtocol) -> None:
+    def connection_lost(self, connection: CallerProtocol) -> None:
         self.connections.pop(connection, None)
-        for call in list(connection.open):
-            self.stop(call)
-        stuck, connection.stuck = connection.stuck, []
-        for data in stuck:  # guards the end of calls against a caller's connection that took nothing more
-            self.release(data, None)
+        for call in list(connection.unanswered):
+            self.withdraw(call)
+        releases, connection.buffered_releases = connection.buffered_releases, []
+        for data in releases:  # guards the ends of calls against a connection whose peer had stopped reading
+            self.send_release(data, None)
 
-    def forget(self, call: int) -> None:
-        passed = self.bodies.pop(call, None)
-        self.body_room += len(passed[2]) if passed is not None else 0
+    def discard_texts(self, call: int) -> None:
+        texts = self.setup_texts.pop(call, None)
+        self.description_room += len(texts[2]) if texts is not None else 0
 
     # ---- effects
 
-    def settle(self, call: int) -> tuple[CallerProtocol, str] | None:
-        self.forget(call)
+    def take_unanswered(self, call: int) -> tuple[CallerProtocol, str] | None:
+        """Removes a set-up that gets its final answer now: its connection and uid, None if it was withdrawn."""
+        self.discard_texts(call)
         connection = self.owed.pop(call, None)
         if connection is None:
             return None
-        return connection, connection.open.pop(call)
+        return connection, connection.unanswered.pop(call)
 
     def answer(self, effect: messages.Answer) -> None:
-        place = self.settle(effect.call)
-        if place is None:
+        origin = self.take_unanswered(effect.call)
+        if origin is None:
             return
-        data = line_of("running", place[1], body=effect.description)
+        data = encode_line("running", origin[1], body=effect.description)
         if len(data) > MAX_MESSAGE_BYTES:
-            log(f"long-answer uid={place[1]} bytes={len(data)}")
-            place[0].push(line_of("stop", place[1], reason=FAILED))
-        elif place[0].push(data):
-            self.standing[effect.call] = place
-            place[0].stood += 1
+            log(f"long-answer uid={origin[1]} bytes={len(data)}")
+            origin[0].push(encode_line("stop", origin[1], reason=CAUSE_FAILED))
+        elif origin[0].push(data):
+            self.standing[effect.call] = origin
+            origin[0].calls_carried += 1
             return
         self.driver.later(messages.Withdrawn(effect.call))
 
     def refuse(self, effect: messages.Refuse) -> None:
-        place = self.settle(effect.call)
-        if place is not None:
+        origin = self.take_unanswered(effect.call)
+        if origin is not None:
             meta = {"wait": str(effect.retry_after_us // 1000)} if effect.retry_after_us > 0 else {}
-            cause = NO_CIRCUIT if effect.cause is messages.FailureCause.UNAVAILABLE else REFUSED
-            place[0].push(line_of("stop", place[1], meta, reason=cause))
+            cause = CAUSE_NO_CIRCUIT if effect.cause is messages.FailureCause.UNAVAILABLE else CAUSE_REFUSED
+            origin[0].push(encode_line("stop", origin[1], meta, reason=cause))
 
     def fail(self, effect: messages.Fail) -> None:
-        place = self.settle(effect.call)
-        if place is not None:
-            place[0].push(line_of("stop", place[1], reason=FAILED))
+        origin = self.take_unanswered(effect.call)
+        if origin is not None:
+            origin[0].push(encode_line("stop", origin[1], reason=CAUSE_FAILED))
 
     def over(self, effect: messages.CallEnded) -> None:
-        """On the set-up's own connection, else on the one that has carried most calls, else on the next that
-        brings a set-up: who only connects may be nobody's caller."""
+        """Sends the end of an established call: on the connection of its set-up, else on the one that has
+        carried most calls, else on the next one to bring a set-up. A connection that has carried no call may
+        belong to a peer that is not a caller at all."""
         connection, uid = self.standing.pop(effect.call, (None, f"{effect.call:016x}"))
-        self.release(line_of("stop", uid, reason=FAILED if effect.cut else ENDED), connection)
+        self.send_release(
+            encode_line("stop", uid, reason=CAUSE_FAILED if effect.cut else CAUSE_ENDED), connection
+        )
 
-    def release(self, data: bytes, connection: CallerProtocol | None) -> None:
-        used = sorted((item for item in self.connections if item.stood), key=lambda item: -item.stood)
-        for candidate in (connection, *used):
+    def send_release(self, data: bytes, connection: CallerProtocol | None) -> None:
+        carriers = sorted(
+            (item for item in self.connections if item.calls_carried), key=lambda item: -item.calls_carried
+        )
+        for candidate in (connection, *carriers):
             if candidate in self.connections and candidate.push(data):
                 if candidate.held:
-                    candidate.stuck.append(data)
+                    candidate.buffered_releases.append(data)
                 return
-        if len(self.unsent) < MOST_UNSENT:
-            self.unsent.append(data)
+        if len(self.unsent_releases) < MAX_UNSENT_RELEASES:
+            self.unsent_releases.append(data)
 
-    def flush(self, connection: CallerProtocol) -> None:
-        waiting, self.unsent = self.unsent, []
-        for data in waiting:
+    def send_unsent_releases(self, connection: CallerProtocol) -> None:
+        releases, self.unsent_releases = self.unsent_releases, []
+        for data in releases:
             connection.push(data)
--- a/chutefork/net/exchanges.py
+++ b/chutefork/net/exchanges.py
@@ -1,4 +1,4 @@
-"""The legs of the platform's protocol: binary frames to and from the exchanges."""
+"""The hub side of the platform's protocol: binary frames to and from the exchanges."""
 
 from __future__ import annotations
 
@@ -20,12 +20,14 @@
     from .clock import TurnReactor
     from .driver import Driver
 
-SETUP, PROGRESS, ANSWER, RELEASE, HEARD, STATE, TEST, PASSED = 1, 6, 9, 12, 16, 43, 52, 53
-HARMLESS = {PROGRESS, HEARD, PASSED}
-CLASS, LEFT, NUMBER, NOTE, WAIT, GROUP, CAUSE, DESCRIPTION = 16, 19, 28, 37, 40, 43, 58, 61
-GIVEN_UP = 16
+# Message types
+SETUP, PROGRESS, ANSWER, RELEASE, RELEASE_COMPLETE, STATE, TEST, TEST_PASSED = 1, 6, 9, 12, 16, 43, 52, 53
+IGNORED_TYPES = {PROGRESS, RELEASE_COMPLETE, TEST_PASSED}
+# Parameter codes
+CLASS, TIME_LEFT, NUMBER, NOTE, RETRY_AFTER, GROUP, CAUSE, DESCRIPTION = 16, 19, 28, 37, 40, 43, 58, 61
+NORMAL_CLEARING = 16  # the cause in releases sent to exchanges
 
-OUTCOMES = {
+OUTCOME_BY_CAUSE = {
     34: Outcome.REJECTED,
     17: Outcome.ERROR,
     47: Outcome.ERROR,
@@ -33,81 +35,94 @@
     41: Outcome.CUT,
     16: Outcome.OK,
 }
-REASONS = {
+REASON_BY_NOTE = {
     "atb": Reason.NO_CIRCUIT,
     "rtb": Reason.REJECTED_BY_TANDEM,
     "racc": Reason.DESTINATION_PROCESSOR_FULL,
     "acc": Reason.PROCESSOR_FULL,
     "sub": Reason.LINES_BUSY,
 }
-WATCH_S = 0.025  # how often the silence of the links is looked at
-GONE_US = 6_000_000  # unreached and unheard for so long: what stood there is over
-OWED_US = 60_000  # no less than this is silence where an answer is owed
-QUIET_GAPS = 40  # where none has been heard yet, or calls only stand, so many mean gaps between frames are
-QUIET_US = (150_000, 1_500_000)  # but no less than this, and no more
-LEARNT = 16  # answers over which their time and its spread are smoothed
-IDLE_SHARE = 0.9  # of the time after which exchanges close idle connections
-MOST_RELEASES = 10_000
-RETRY_US = (50_000, 200_000, 500_000, 1_000_000)  # gaps between tries to connect
-
-
-def frame_of(kind: int, call: int, parameters: list[tuple[int, bytes]]) -> bytes:
+SILENCE_CHECK_INTERVAL_S = 0.025
+# With no connection and no frame for this long, the calls at the exchange are over.
+HUB_DOWN_AFTER_US = 6_000_000
+MIN_ANSWER_TIMEOUT_US = 60_000
+SILENCE_GAPS = 40  # silence limit in mean gaps between frames: before any answer, or with calls only
+SILENCE_LIMITS_US = (150_000, 1_500_000)  # the least and the greatest value of that limit
+ANSWER_TIME_WINDOW = 16  # answers over which their time and its deviation are smoothed
+MAX_IDLE_SHARE = 0.9  # of the time after which exchanges close idle connections
+MAX_QUEUED_RELEASES = 10_000
+RETRY_DELAYS_US = (50_000, 200_000, 500_000, 1_000_000)  # after the first, second, ... failure in a row
+
+
+def encode_frame(kind: int, call: int, parameters: list[tuple[int, bytes]]) -> bytes:
+    """A whole frame, its 16-bit length included; `kind` is the message type."""
     body = b"".join(struct.pack("!BH", code, len(value)) + value for code, value in parameters)
     return struct.pack("!HBQ", 9 + len(body), kind, call) + body
 
 
-def release_of(call: int) -> bytes:
-    return frame_of(RELEASE, call, [(CAUSE, bytes([GIVEN_UP]))])
+def encode_release(call: int) -> bytes:
+    return encode_frame(RELEASE, call, [(CAUSE, bytes([NORMAL_CLEARING]))])
 
 
-def read_frame(data: bytes) -> tuple[int, int, dict[int, bytes]]:
+def decode_frame(data: bytes) -> tuple[int, int, dict[int, bytes]]:
+    """Message type, call and parameters by code, of a frame without its length; ValueError if truncated."""
     if len(data) < 9:
         raise ValueError(f"a message of {len(data)} bytes")
     kind, call = struct.unpack_from("!BQ", data)
-    at, parameters = 9, {}
-    while at < len(data):
-        if at + 3 > len(data):
-            raise ValueError("a parameter is cut off")
-        code, length = struct.unpack_from("!BH", data, at)
-        at += 3
-        if at + length > len(data):
-            raise ValueError(f"parameter {code} is cut off")
-        parameters[code] = data[at : at + length]
-        at += length
+    offset, parameters = 9, {}
+    while offset < len(data):
+        if offset + 3 > len(data):
+            raise ValueError("truncated parameter header")
+        code, length = struct.unpack_from("!BH", data, offset)
+        offset += 3
+        if offset + length > len(data):
+            raise ValueError(f"parameter {code} is truncated")
+        parameters[code] = data[offset : offset + length]
+        offset += length
     return kind, call, parameters
 
 
 class ExchangeProtocol(Connection, Int16StringReceiver):
+    """One connection to an exchange. Detects when it has been silent for too long."""
+
     role = "exchange"
     MAX_LENGTH = MAX_MESSAGE_BYTES
-    heard_at = wrote_at = 0
-    gap_us = 0.0  # smoothed, between frames
-    seen_mute = False
+    last_received_at = last_setup_at = 0
+    mean_gap_us = 0.0  # smoothed, between received frames
+    found_silent = False  # at the last check
 
     def __init__(self, link: ExchangeLink) -> None:
         self.link = link
         self.clock = link.clock
-        self.open: dict[int, int] = {}  # set-ups sent here whose end has not been heard: call -> when sent
+        self.pending_setups: dict[int, int] = {}  # set-ups sent here and not completed: call -> when sent
         self.peer = f"{link.hub.name}@{link.hub.address}"
 
     def connectionMade(self) -> None:  # noqa: N802
         super().connectionMade()
-        self.heard_at = self.made_at
-        self.link.made(self)
-
-    def mute(self, now: int) -> bool:
-        """Longer without a frame than a sound connection ever is while something is owed on it. A set-up that
-        was overdue when the last frame came is lost by itself: it proves nothing of the connection."""
-        (least, most), again = QUIET_US, min(self.link.silences, 5)
-        by_gaps_us = round(self.gap_us * QUIET_GAPS) if self.taken > QUIET_GAPS else most
-        by_gaps_us = min(max(by_gaps_us, least), most)
-        patience_us = (min(self.link.answers_within_us(), most) or by_gaps_us) << again
-        first = next((at for at in self.open.values() if at + patience_us > self.heard_at), None)
-        if first is None and not self.link.legs.stands_at(self.link.hub.name):
+        self.last_received_at = self.made_at
+        self.link.connected(self)
+
+    def is_silent(self, now: int) -> bool:
+        """Whether no frame has come for longer than a working connection is ever silent while a set-up is
+        pending on it or calls are established at the exchange. A set-up that was overdue already when the
+        last frame came does not count: its answer alone is lost, which says nothing of the connection."""
+        (min_us, max_us), doublings = SILENCE_LIMITS_US, min(self.link.consecutive_silences, 5)
+        gap_limit_us = round(self.mean_gap_us * SILENCE_GAPS) if self.taken > SILENCE_GAPS else max_us
+        gap_limit_us = min(max(gap_limit_us, min_us), max_us)
+        limit_us = (min(self.link.answer_timeout_us(), max_us) or gap_limit_us) << doublings
+        waiting_since = next(
+            (
+                setup_at
+                for setup_at in self.pending_setups.values()
+                if setup_at + limit_us > self.last_received_at
+            ),
+            None,
+        )
+        if waiting_since is None and not self.link.legs.has_established_calls(self.link.hub.name):
             return False
-        if first is None:
-            first, patience_us = 0, by_gaps_us << again
-        return now - max(first, self.heard_at) > patience_us
+        if waiting_since is None:
+            waiting_since, limit_us = 0, gap_limit_us << doublings
+        return now - max(waiting_since, self.last_received_at) > limit_us
 
     def resumeProducing(self) -> None:  # noqa: N802
         super().resumeProducing()
@@ -118,22 +133,22 @@
             return
         self.taken += 1
         now = self.clock.now_us()
-        self.gap_us += (now - self.heard_at - self.gap_us) / min(self.taken, 50)
-        self.heard_at = self.link.heard_at = now
+        self.mean_gap_us += (now - self.last_received_at - self.mean_gap_us) / min(self.taken, 50)
+        self.last_received_at = self.link.last_received_at = now
         try:
-            kind, call, parameters = read_frame(string)
-            self.link.heard(kind, call, parameters)
-        except (ValueError, OverflowError, struct.error) as fault:
-            self.end("bad-frame", str(fault))
+            kind, call, parameters = decode_frame(string)
+            self.link.frame_received(kind, call, parameters)
+        except (ValueError, OverflowError, struct.error) as exc:
+            self.end("bad-frame", str(exc))
 
     def lengthLimitExceeded(self, length: int) -> None:  # noqa: N802
         self.end("long-frame", f"{length} bytes")
 
     def lost(self) -> None:
-        self.link.lost(self)
+        self.link.connection_lost(self)
 
 
-class _Connector(ClientFactory):
+class _LinkFactory(ClientFactory):
     noisy = False
 
     def __init__(self, link: ExchangeLink) -> None:
@@ -143,223 +158,250 @@
         return ExchangeProtocol(self.link)
 
     def clientConnectionFailed(self, connector: object, reason: object) -> None:  # noqa: N802
-        self.link.failed(reason)
+        self.link.connect_failed(reason)
 
 
 class ExchangeLink:
-    """One exchange: its connection, the set-ups out there, and what waits to be sent."""
+    """One exchange: its connection, the set-ups pending there, and what waits to be sent to it."""
 
     def __init__(self, legs: ExchangeLegs, hub: messages.Hub) -> None:
         self.legs = legs
         self.clock = legs.clock
         self.hub = hub
-        self.sends = True
-        self.wanted = True
+        self.accepts_setups = True
+        self.keep_connection = True
         self.connection: ExchangeProtocol | None = None
         self.connecting = False
-        self.tries = 0
-        self.retry = None
-        # waiting for the connection: call -> set-up, since
-        self.queue: dict[int, tuple[messages.SetUp, int]] = {}
-        self.releases: list[bytes] = []
-        self.heard_at = self.clock.now_us()
-        self.silences = 0  # connections in a row that were mute: the exchange itself may be
-        self.answer_us = self.spread_us = 0.0  # how long answers take, and how much that varies
+        self.failed_connects = 0  # in a row
+        self.retry_timer = None
+        # waiting for the connection: call -> set-up, when queued
+        self.queued_setups: dict[int, tuple[messages.SetUp, int]] = {}
+        self.queued_releases: list[bytes] = []
+        self.last_received_at = self.clock.now_us()
+        self.consecutive_silences = 0  # connections in a row closed as silent: the exchange itself may be
+        self.mean_answer_us = self.answer_deviation_us = 0.0  # smoothed time to an answer, mean deviation
 
     def connect(self) -> None:
-        self.retry = None
-        if self.connecting or self.connection is not None or not self.wanted:
+        self.retry_timer = None
+        if self.connecting or self.connection is not None or not self.keep_connection:
             return
         host, _, port = self.hub.address.rpartition(":")
         self.connecting = True
         self.address = self.hub.address
-        self.clock.connectTCP(host, int(port), _Connector(self), timeout=self.legs.connect_timeout_s)
+        self.clock.connectTCP(host, int(port), _LinkFactory(self), timeout=self.legs.connect_timeout_s)
 
-    def made(self, connection: ExchangeProtocol) -> None:
-        self.connecting, self.tries, self.connection = False, 0, connection
-        self.legs.tried()
-        if not self.wanted or self.address != self.hub.address:
+    def connected(self, connection: ExchangeProtocol) -> None:
+        self.connecting, self.failed_connects, self.connection = False, 0, connection
+        self.legs.check_all_tried()
+        if not self.keep_connection or self.address != self.hub.address:
             connection.end("let-go")
             return
-        for data in self.releases:
+        for data in self.queued_releases:
             connection.push(data)
-        self.releases.clear()
+        self.queued_releases.clear()
         self.flush()
 
     def flush(self) -> None:
-        """Set-ups wait here, not in a connection's buffer: a drain can still take them back."""
-        while self.queue and self.connection is not None and not self.connection.held:
-            call = next(iter(self.queue))
-            self.send(*self.queue.pop(call))
-
-    def failed(self, reason: object) -> None:
-        """Nothing ran of what waited for this connection; a refusal is proof that no process is there."""
+        """Sends queued set-ups while the connection accepts output. They wait here, not in the connection's
+        output buffer, so that they can still be taken back when the exchange drains."""
+        while self.queued_setups and self.connection is not None and not self.connection.held:
+            call = next(iter(self.queued_setups))
+            self.send(*self.queued_setups.pop(call))
+
+    def connect_failed(self, reason: object) -> None:
+        """Ends the queued set-ups, of which none has reached the exchange. A refused connection proves that
+        no process is listening there."""
         self.connecting = False
         refused = reason.check(error.ConnectionRefusedError) is not None
-        if not self.tries or self.queue:
+        if not self.failed_connects or self.queued_setups:
             log(
                 f"end role=exchange peer={self.hub.name}@{self.hub.address}"
                 f" code={'refused' if refused else 'unreached'} age_ms=0 in=0 out=0"
             )
-        self.tries += 1
-        self.legs.tried()
-        waiting, self.queue = self.queue, {}
-        if self.wanted and self.connection is None:
-            gap_us = RETRY_US[min(self.tries, len(RETRY_US)) - 1]
-            self.retry = self.clock.callLater(gap_us / 1e6, self.connect)
-        for call in waiting:
+        self.failed_connects += 1
+        self.legs.check_all_tried()
+        unsent, self.queued_setups = self.queued_setups, {}
+        if self.keep_connection and self.connection is None:
+            delay_us = RETRY_DELAYS_US[min(self.failed_connects, len(RETRY_DELAYS_US)) - 1]
+            self.retry_timer = self.clock.callLater(delay_us / 1e6, self.connect)
+        for call in unsent:
             self.legs.driver.tell(messages.AttemptEnded(call, self.hub.name, Outcome.UNREACHABLE))
-        gone = refused or self.clock.now_us() - self.heard_at > GONE_US
+        is_down = refused or self.clock.now_us() - self.last_received_at > HUB_DOWN_AFTER_US
         if refused:
-            self.releases.clear()  # nothing stands at a process that is not there
-        if gone:  # a machine that sends nothing cannot tell of the ends of its calls: their callers are told
+            self.queued_releases.clear()  # a process that is not there holds no calls
+        if is_down:  # the exchange cannot report the ends of its calls, so their callers get them from here
             self.legs.driver.tell(messages.HubDown(self.hub.name))
 
-    def lost(self, connection: ExchangeProtocol) -> None:
+    def connection_lost(self, connection: ExchangeProtocol) -> None:
         if self.connection is connection:
             self.connection = None
-            if self.wanted and self.retry is None and not self.connecting:
-                self.retry = self.clock.callLater(RETRY_US[0] / 1e6, self.connect)
-        ended, connection.open = connection.open, {}
-        # one connection that broke says nothing of the exchange; mute on a fresh one too, it does not answer
-        outcome = Outcome.TIMEOUT if connection.code == "silent" and self.silences > 1 else Outcome.CUT
-        for call in ended:
-            # guards against a call that stands there all the same, its answer spoilt or lost on the way
-            self.release_later(release_of(call))
+            if self.keep_connection and self.retry_timer is None and not self.connecting:
+                self.retry_timer = self.clock.callLater(RETRY_DELAYS_US[0] / 1e6, self.connect)
+        pending, connection.pending_setups = connection.pending_setups, {}
+        # One broken connection says nothing of the exchange. If the next one is silent too, the exchange
+        # itself does not answer.
+        outcome = (
+            Outcome.TIMEOUT if connection.code == "silent" and self.consecutive_silences > 1 else Outcome.CUT
+        )
+        for call in pending:
+            # Guards against a call that is established at the exchange although its answer was corrupted or
+            # lost on the way.
+            self.queue_release(encode_release(call))
             self.legs.driver.tell(messages.AttemptEnded(call, self.hub.name, outcome))
 
-    def watch(self, now: int) -> None:
-        """Guards against a connection that stays open and is of no use any more: an answer broke off there,
-        or the machine is gone. What is open on it is settled at once; the next one tells whether anybody
-        is there. Seen mute twice, so that what has arrived meanwhile is read first."""
+    def check_silence(self, now: int) -> None:
+        """Guards against a connection that stays open but no longer works: a frame was cut short on it, or
+        the machine is gone. It is closed, which ends its pending set-ups at once, and the next connection
+        shows whether the exchange is there. It must be silent at two checks in a row, so that frames that
+        have arrived in the meantime are read first."""
         connection = self.connection
-        if connection is None or not self.sends:
-            # an exchange that drains has little to tell, and takes no new connection for what stands there
+        if connection is None or not self.accepts_setups:
+            # A draining exchange sends few frames, and accepts no new connection for the calls it still has.
             return
-        was_mute, connection.seen_mute = connection.seen_mute, connection.mute(now)
-        if was_mute and connection.seen_mute:
-            self.silences += 1
-            quiet_ms, within_ms = (now - connection.heard_at) // 1000, self.answers_within_us() // 1000
+        silent_before, connection.found_silent = connection.found_silent, connection.is_silent(now)
+        if silent_before and connection.found_silent:
+            self.consecutive_silences += 1
+            silence_ms, timeout_ms = (
+                (now - connection.last_received_at) // 1000,
+                self.answer_timeout_us() // 1000,
+            )
             connection.end(
                 "silent",
-                f"for {quiet_ms} ms, {len(connection.open)} set-ups open, answers within" f" {within_ms} ms",
+                f"for {silence_ms} ms, {len(connection.pending_setups)} set-ups open, answer timeout"
+                f" {timeout_ms} ms",
                 at_once=True,
             )
 
-    def let_go(self, code: str) -> None:
-        if self.retry is not None:
-            self.retry.cancel()
-            self.retry = None
+    def disconnect(self, code: str) -> None:
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
+            self.retry_timer = None
         if self.connection is not None:
             self.connection.end(code)
 
-    def renew(self) -> None:
-        """Guards against a set-up that crosses the exchange's close of an idle connection: it would be reset,
-        and the call held back for the release wait."""
+    def renew_if_idle(self) -> None:
+        """Closes a connection that the exchange may soon close as idle. Guards against a set-up that crosses
+        the exchange's close: it would be reset, and the call held back for the release time."""
         old = self.connection
-        quiet_us = self.clock.now_us() - max(old.heard_at, old.wrote_at)
-        if quiet_us > IDLE_SHARE * self.legs.idle_close_s * 1e6 and not old.open:
+        idle_us = self.clock.now_us() - max(old.last_received_at, old.last_setup_at)
+        if idle_us > MAX_IDLE_SHARE * self.legs.idle_close_s * 1e6 and not old.pending_setups:
             self.connection = None
             old.end("renewed")
 
     def set_up(self, effect: messages.SetUp) -> None:
-        self.queue[effect.call] = effect, self.clock.now_us()
+        self.queued_setups[effect.call] = effect, self.clock.now_us()
         if self.connection is not None:
-            self.renew()
+            self.renew_if_idle()
         if self.connection is not None:
             self.flush()
             return
-        if self.retry is not None:
-            self.retry.cancel()
-            self.retry = None
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
+            self.retry_timer = None
         self.connect()
 
-    def send(self, effect: messages.SetUp, since: int) -> None:
-        left_us = effect.timeout_us - (self.clock.now_us() - since)
-        name, key, body = self.legs.front.bodies.get(effect.call, ("", "", ""))
-        data = frame_of(
+    def send(self, effect: messages.SetUp, queued_at: int) -> None:
+        remaining_us = effect.timeout_us - (self.clock.now_us() - queued_at)
+        class_name, number, description = self.legs.front.setup_texts.get(effect.call, ("", "", ""))
+        data = encode_frame(
             SETUP,
             effect.call,
             [
-                (CLASS, name.encode()),
-                (LEFT, str(max(left_us // 1000, 1)).encode()),
-                (NUMBER, key.encode()),
-                (DESCRIPTION, body.encode()),
+                (CLASS, class_name.encode()),
+                (TIME_LEFT, str(max(remaining_us // 1000, 1)).encode()),
+                (NUMBER, number.encode()),
+                (DESCRIPTION, description.encode()),
             ],
         )
         if self.connection is None or not self.connection.push(data):
             self.legs.driver.later(messages.AttemptEnded(effect.call, self.hub.name, Outcome.NOT_SENT))
             return
-        self.connection.wrote_at = self.connection.open[effect.call] = self.clock.now_us()
+        self.connection.last_setup_at = self.connection.pending_setups[effect.call] = self.clock.now_us()
 
     def release(self, effect: messages.Release) -> None:
-        if self.queue.pop(effect.call, None) is not None:
+        if self.queued_setups.pop(effect.call, None) is not None:
             return
-        data = release_of(effect.call)
+        data = encode_release(effect.call)
         if self.connection is None or not self.connection.push(data):
-            self.release_later(data)
+            self.queue_release(data)
         if self.connection is not None:
-            self.connection.open.pop(effect.call, None)
-
-    def release_later(self, data: bytes) -> None:
-        if len(self.releases) < MOST_RELEASES:
-            self.releases.append(data)
-
-    def settled(self, call: int, stands: bool = False) -> None:
-        self.silences = 0
-        sent_at = self.connection.open.pop(call, None)
-        if stands and sent_at is not None:
-            took_us = self.clock.now_us() - sent_at
-            if not self.answer_us:
-                self.answer_us, self.spread_us = took_us, took_us / 2
-            self.spread_us += (abs(took_us - self.answer_us) - self.spread_us) / LEARNT
-            self.answer_us += (took_us - self.answer_us) / LEARNT
-
-    def answers_within_us(self) -> int:
-        """As a retransmission timer reckons it; 0 where no answer has been heard yet."""
-        return max(round(self.answer_us + 4 * self.spread_us), OWED_US) if self.answer_us else 0
-
-    def heard(self, kind: int, call: int, parameters: dict[int, bytes]) -> None:
-        tell, name = self.legs.driver.tell, self.hub.name
+            self.connection.pending_setups.pop(effect.call, None)
+
+    def queue_release(self, data: bytes) -> None:
+        if len(self.queued_releases) < MAX_QUEUED_RELEASES:
+            self.queued_releases.append(data)
+
+    def setup_completed(self, call: int, answered: bool = False) -> None:
+        """Counts a set-up as no longer pending, and the time to its answer if it was answered."""
+        self.consecutive_silences = 0
+        setup_at = self.connection.pending_setups.pop(call, None)
+        if answered and setup_at is not None:
+            elapsed_us = self.clock.now_us() - setup_at
+            if not self.mean_answer_us:
+                self.mean_answer_us, self.answer_deviation_us = elapsed_us, elapsed_us / 2
+            self.answer_deviation_us += (
+                abs(elapsed_us - self.mean_answer_us) - self.answer_deviation_us
+            ) / ANSWER_TIME_WINDOW
+            self.mean_answer_us += (elapsed_us - self.mean_answer_us) / ANSWER_TIME_WINDOW
+
+    def answer_timeout_us(self) -> int:
+        """Computed like a retransmission timeout, from the smoothed answer time and four times its deviation;
+        0 before the first answer."""
+        return (
+            max(round(self.mean_answer_us + 4 * self.answer_deviation_us), MIN_ANSWER_TIMEOUT_US)
+            if self.mean_answer_us
+            else 0
+        )
+
+    def frame_received(self, kind: int, call: int, parameters: dict[int, bytes]) -> None:
+        """Passes a frame on to the core as an event. ValueError if it cannot be used; its connection is then
+        closed."""
+        post, name = self.legs.driver.tell, self.hub.name
         if kind == ANSWER:
-            if call not in self.connection.open:
-                # guards the link, and all that is open on it, against extra answers beside the good ones: a
-                # second copy, a late one, one under an id that nobody asked for; whatever it holds is dropped
-                tell(messages.UnmatchedAnswer(call, name))
+            if call not in self.connection.pending_setups:
+                # Guards the connection, and all set-ups pending on it, against surplus answers: duplicates,
+                # late ones, ones with an id that was never sent. Whatever their content, they are dropped.
+                post(messages.UnmatchedAnswer(call, name))
                 return
             description = parameters.get(DESCRIPTION, b"").decode("utf-8")
-            if not description or CONTROL_CHARACTERS.search(
-                description
-            ):  # guards callers against a spoilt answer
-                raise ValueError("an answer whose description is no text")
-            self.settled(call, stands=True)
-            tell(messages.CallEstablished(call, name, description))
+            # Guards callers against a corrupted answer.
+            if not description or CONTROL_CHARACTERS.search(description):
+                raise ValueError("answer with an empty description or with control characters")
+            self.setup_completed(call, answered=True)
+            post(messages.CallEstablished(call, name, description))
         elif kind == RELEASE:
             cause = parameters.get(CAUSE, b"")
             if len(cause) != 1:
-                raise ValueError("a release without its cause")
-            note, wait = parameters.get(NOTE, b"").decode("ascii", "replace"), parameters.get(WAIT)
+                raise ValueError("release without a one-byte cause")
+            note, wait = parameters.get(NOTE, b"").decode("ascii", "replace"), parameters.get(RETRY_AFTER)
             wait_us = int(float(wait) * 1000) if wait else None
-            self.settled(call)
-            tell(
+            self.setup_completed(call)
+            post(
                 messages.AttemptEnded(
-                    call, name, OUTCOMES.get(cause[0], Outcome.ERROR), REASONS.get(note, Reason.NONE), wait_us
+                    call,
+                    name,
+                    OUTCOME_BY_CAUSE.get(cause[0], Outcome.ERROR),
+                    REASON_BY_NOTE.get(note, Reason.NONE),
+                    wait_us,
                 )
             )
         elif kind == STATE:
             text = parameters.get(GROUP, b"").decode("ascii", "replace")
-            figures = dict(part.split(":", 1) for part in text.split(";") if ":" in part)
-            if "idle" in figures and "circuits" in figures:
-                free, size = float(figures["idle"]), float(figures["circuits"])
-                if not (math.isfinite(free) and 0 <= size < math.inf):
-                    raise ValueError(f"state of a group {text[:40]!r}")
-                tell(messages.GroupStateReported(name, free, size))
-        elif kind not in HARMLESS:
-            # guards against a spoilt frame taken for a novelty: nothing more came on such connections
-            raise ValueError(f"a message of type {kind}")
+            fields = dict(part.split(":", 1) for part in text.split(";") if ":" in part)
+            if "idle" in fields and "circuits" in fields:
+                free, total = float(fields["idle"]), float(fields["circuits"])
+                if not (math.isfinite(free) and 0 <= total < math.inf):
+                    raise ValueError(f"group state out of range: {text[:40]!r}")
+                post(messages.GroupStateReported(name, free, total))
+        elif kind not in IGNORED_TYPES:
+            # Guards against a corrupted frame being ignored as an unknown message type: on connections with
+            # such frames no valid one followed.
+            raise ValueError(f"unknown message type {kind}")
 
 
 class ExchangeLegs:
+    """The links to all exchanges of the list; carries out the core's effects towards them."""
+
     def __init__(
         self,
         driver: Driver,
@@ -374,54 +416,62 @@
         self.connect_timeout_s = connect_timeout_s
         self.idle_close_s = idle_close_s
         self.links: dict[str, ExchangeLink] = {}
-        self.all_tried: Callable[[], None] | None = None  # once, when every link has been up or has failed
+        # called once, when every link has been connected or has failed to
+        self.all_tried: Callable[[], None] | None = None
 
     def watch(self) -> None:
+        """Checks all links for silence, now and at every SILENCE_CHECK_INTERVAL_S from now on."""
         for link in list(self.links.values()):
-            link.watch(self.clock.now_us())
-        self.clock.callLater(WATCH_S, self.watch)
+            link.check_silence(self.clock.now_us())
+        self.clock.callLater(SILENCE_CHECK_INTERVAL_S, self.watch)
 
-    def stands_at(self, hub: str) -> bool:
+    def has_established_calls(self, hub: str) -> bool:
         entry = self.driver.state.hubs.get(hub)
         return entry is not None and bool(entry.standing)
 
-    def tried(self) -> None:
-        waiting = any(item.connection is None and not item.tries for item in self.links.values())
-        if self.links and not waiting and self.all_tried is not None:
+    def check_all_tried(self) -> None:
+        untried = any(item.connection is None and not item.failed_connects for item in self.links.values())
+        if self.links and not untried and self.all_tried is not None:
             self.all_tried()
             self.all_tried = None
 
     def reach(self, effect: messages.UpdateHubConnection) -> None:
+        """Connects to an exchange, follows a change of its address, or disconnects from it."""
         link = self.links.get(effect.hub.name)
         if link is None:
             if not effect.keep_connection:
                 return
             link = self.links[effect.hub.name] = ExchangeLink(self, effect.hub)
         moved = link.hub.address != effect.hub.address
-        link.hub, link.wanted, link.sends = effect.hub, effect.keep_connection, effect.accepts_setups
+        link.hub, link.keep_connection, link.accepts_setups = (
+            effect.hub,
+            effect.keep_connection,
+            effect.accepts_setups,
+        )
         if moved and link.connection is not None:
             link.connection.end("moved")
             link.connection = None
         if not effect.accepts_setups:
-            waiting, link.queue = link.queue, {}
-            for call in waiting:  # guards the drain: what waits for a connection would go out late
+            unsent, link.queued_setups = link.queued_setups, {}
+            for call in unsent:  # guards the drain: once connected, these would still be sent to the exchange
                 self.driver.later(messages.AttemptEnded(call, link.hub.name, Outcome.NOT_SENT))
         if effect.keep_connection:
-            if link.retry is None:
+            if link.retry_timer is None:
                 link.connect()
             return
         del self.links[effect.hub.name]
-        link.let_go("let-go")
+        link.disconnect("let-go")
 
     def leave(self) -> None:
+        """Closes the connections to all exchanges for good."""
         for link in self.links.values():
-            link.wanted = False
-            link.let_go("leaving")
+            link.keep_connection = False
+            link.disconnect("leaving")
         self.links.clear()
 
     def set_up(self, effect: messages.SetUp) -> None:
         link = self.links.get(effect.hub)
-        if link is None or not link.sends:
+        if link is None or not link.accepts_setups:
             self.driver.later(messages.AttemptEnded(effect.call, effect.hub, Outcome.NOT_SENT))
         else:
             link.set_up(effect)
