--- a/chutefork/net/callers.py
+++ b/chutefork/net/callers.py
@@ -81,8 +81,8 @@
         return self.paused and not self.bad_setups or super().unread()
 
     def dispatch(self) -> None:
-        """Passes set-ups to the core once all input that arrived with them is processed: many are withdrawn at
-        once, and those are then never sent to an exchange."""
+        """Passes set-ups to the core once all input that arrived with them is processed: many are withdrawn
+        at once, and those are then never sent to an exchange."""
         while self.undispatched and not self.processing_input and not self.code:
             self.front.driver.tell(self.undispatched.pop(next(iter(self.undispatched))))
 
@@ -363,7 +363,7 @@
     # ---- effects
 
     def take_unanswered(self, call: int) -> tuple[CallerProtocol, str] | None:
-        """Removes a set-up that gets its final answer now: its connection and uid, None if it was withdrawn."""
+        """Removes a set-up that gets its final answer now: its connection and uid, or None if withdrawn."""
         self.discard_texts(call)
         connection = self.owed.pop(call, None)
         if connection is None:
--- a/tests/platform_harness.py
+++ b/tests/platform_harness.py
@@ -1,4 +1,4 @@
-"""The real program as a process, and the callers, exchanges and command channel that it talks to."""
+"""Runs the real program as a process, with test doubles of its callers, exchanges and command channel."""
 
 import contextlib
 import json
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-PATIENCE_S = 10.0  # no test waits that long unless it fails
+PATIENCE_S = 10.0  # timeout of every wait; only a failing test waits that long
 
 SETTINGS = {
     "balancers": 3,
@@ -65,22 +65,23 @@
 
 
 def where(sock):
+    """The address of a bound socket as `host:port`."""
     return "%s:%d" % sock.getsockname()[:2]
 
 
 def until(condition, what):
-    """Waits for a condition, never for a fixed time."""
+    """Polls until the condition returns a true value, and returns that; AssertionError after PATIENCE_S."""
     end = time.monotonic() + PATIENCE_S
     while time.monotonic() < end:
         found = condition()
         if found:
             return found
         time.sleep(0.005)
-    raise AssertionError(f"never came: {what}")
+    raise AssertionError(f"timed out waiting for {what}")
 
 
 class Caller:
-    """One caller's connection: JSON lines."""
+    """A caller with one connection; sends and reads JSON lines."""
 
     def __init__(self, address):
         self.sock = socket.create_connection(address, timeout=PATIENCE_S)
@@ -89,19 +90,19 @@
     def send(self, **record):
         self.sock.sendall(json.dumps(record).encode() + b"\n")
 
-    def launch(self, uid, dest=1, left=1500, body="sdp", extras="width:1;via:-1", **more):
+    def launch(self, uid, dest=1, left=1500, body="sdp", extras="width:1;via:-1", **fields):
         meta = {
             "class": "rate-quote",
             "left": str(left),
             "tenant": "gaucha-envios",
             "key": "7f3a",
             "extras": f"dest:{dest};{extras}",
-            **more,
+            **fields,
         }
         self.send(kind="launch", uid=uid, meta=meta, body=body)
 
     def read(self):
-        """The next line; None when the connection has ended."""
+        """The next line as an object; None when the connection has ended."""
         try:
             line = self.file.readline()
         except ConnectionResetError:
@@ -111,7 +112,8 @@
     def port(self):
         return self.sock.getsockname()[1]
 
-    def silent(self, seconds):
+    def receives_nothing(self, seconds):
+        """Whether neither data nor the end of the connection arrives for so long."""
         return not select.select([self.sock], [], [], seconds)[0]
 
     def close(self):
@@ -119,30 +121,32 @@
         self.sock.close()
 
 
-def parameters(data):
-    at, found = 9, {}
-    while at < len(data):
-        code, size = struct.unpack_from("!BH", data, at)
-        found[code] = data[at + 3 : at + 3 + size]
-        at += 3 + size
-    return found
+def decode_parameters(data):
+    """Parameters by code, of a frame without its length."""
+    offset, values = 9, {}
+    while offset < len(data):
+        code, size = struct.unpack_from("!BH", data, offset)
+        values[code] = data[offset + 3 : offset + 3 + size]
+        offset += 3 + size
+    return values
 
 
 class Exchange:
-    """An exchange that does what the test tells it to, a frame at a time."""
+    """An exchange that sends and reads single frames as the test asks. Frames use the newest connection
+    unless another one is given."""
 
     def __init__(self, name, number, address=("127.0.0.1", 0)):
         self.name, self.number = name, number
         self.sock = listener(address)
-        self.links = []
-        self.quiet, self.told = False, 0  # of the chatter
+        self.connections = []
+        self.stop_states, self.states_sent = False, 0  # of send_states
         self.sending = threading.Lock()
 
     def accept(self):
-        link = self.sock.accept()[0]
-        link.settimeout(PATIENCE_S)
-        self.links.append(link)
-        return link
+        connection = self.sock.accept()[0]
+        connection.settimeout(PATIENCE_S)
+        self.connections.append(connection)
+        return connection
 
     def entry(self, status="Ready", since=0):
         return {
@@ -156,57 +160,59 @@
             "since_ms": since,
         }
 
-    def read(self, link=None):
+    def read(self, connection=None):
         """The next frame: type, call and parameters; None when the connection has ended."""
-        link = link or self.links[-1]
-        head = self._exactly(link, 2)
-        if head is None:
+        connection = connection or self.connections[-1]
+        length = self._recv_exactly(connection, 2)
+        if length is None:
             return None
-        data = self._exactly(link, struct.unpack("!H", head)[0])
+        data = self._recv_exactly(connection, struct.unpack("!H", length)[0])
         kind, call = struct.unpack_from("!BQ", data)
-        return kind, f"{call:016x}", parameters(data)
+        return kind, f"{call:016x}", decode_parameters(data)
 
     @staticmethod
-    def _exactly(link, size):
+    def _recv_exactly(connection, size):
         data = b""
         while len(data) < size:
-            more = link.recv(size - len(data))
-            if not more:
+            part = connection.recv(size - len(data))
+            if not part:
                 return None
-            data += more
+            data += part
         return data
 
-    def send(self, kind, uid, *values, link=None):
+    def send(self, kind, uid, *values, connection=None):
         body = b"".join(struct.pack("!BH", code, len(value)) + value for code, value in values)
         with self.sending:
-            (link or self.links[-1]).sendall(struct.pack("!HBQ", 9 + len(body), kind, int(uid, 16)) + body)
+            (connection or self.connections[-1]).sendall(
+                struct.pack("!HBQ", 9 + len(body), kind, int(uid, 16)) + body
+            )
 
-    def chatter(self, gap_s=0.05):
-        """States of the group, as a real exchange tells them all the time."""
+    def send_states(self, gap_s=0.05):
+        """Sends the state of the trunk group every `gap_s`, as a real exchange does, until `stop_states`."""
 
-        def go(link=self.links[-1]):
+        def send_repeatedly(connection=self.connections[-1]):
             with contextlib.suppress(OSError):
-                while not self.quiet:
-                    self.send(43, "0" * 16, (43, b"idle:9000;circuits:9000"), link=link)
-                    self.told += 1
+                while not self.stop_states:
+                    self.send(43, "0" * 16, (43, b"idle:9000;circuits:9000"), connection=connection)
+                    self.states_sent += 1
                     time.sleep(gap_s)
 
-        threading.Thread(target=go, daemon=True).start()
+        threading.Thread(target=send_repeatedly, daemon=True).start()
 
     def answer(self, uid, description=b"answer"):
         self.send(9, uid, (61, description))
 
-    def release(self, uid, cause, *values, link=None):
-        self.send(12, uid, (58, bytes([cause])), *values, link=link)
+    def release(self, uid, cause, *values, connection=None):
+        self.send(12, uid, (58, bytes([cause])), *values, connection=connection)
 
     def close(self):
-        for link in self.links:
-            link.close()
+        for connection in self.connections:
+            connection.close()
         self.sock.close()
 
 
 class Channel:
-    """The command channel: answers each poll when there are later events, or when its time is up."""
+    """The command channel: answers each poll as soon as there are later events, or when its time is up."""
 
     def __init__(self):
         self.events, self.polls = [], 0
@@ -215,25 +221,25 @@
         self.sock.settimeout(None)
         threading.Thread(target=self._accept, daemon=True).start()
 
-    def tell(self, *entries, **more):
+    def publish(self, *entries, **fields):
         with self.changed:
             record = {
                 "cursor": len(self.events) + 1,
                 "nodes": {"index": 1, "snapshot": not self.events, "endpoints": list(entries)},
             }
-            self.events.append({**record, **more})
+            self.events.append({**record, **fields})
             self.changed.notify_all()
 
     def _accept(self):
         while True:
             try:
-                link = self.sock.accept()[0]
+                connection = self.sock.accept()[0]
             except OSError:
                 return
-            threading.Thread(target=self._serve, args=(link,), daemon=True).start()
+            threading.Thread(target=self._serve, args=(connection,), daemon=True).start()
 
-    def _serve(self, link):
-        file = link.makefile("rwb")
+    def _serve(self, connection):
+        file = connection.makefile("rwb")
         while True:
             try:
                 line = file.readline()
@@ -263,7 +269,7 @@
 
 
 class Program:
-    """`python -m chutefork`; its log is gathered line by line."""
+    """A process running `python -m chutefork`; its output is collected in `lines`."""
 
     def __init__(self, env):
         self.process = subprocess.Popen(
@@ -275,20 +281,22 @@
             text=True,
         )
         self.lines = []
-        self.reader = threading.Thread(target=self._gather, daemon=True)
+        self.reader = threading.Thread(target=self._collect_output, daemon=True)
         self.reader.start()
 
-    def _gather(self):
+    def _collect_output(self):
         for line in self.process.stdout:
             self.lines.append(line.rstrip("\n"))
 
     def logged(self, *parts):
+        """The lines so far that contain all of the parts."""
         return [line for line in list(self.lines) if all(part in line for part in parts)]
 
     def wait_log(self, *parts):
         return until(lambda: self.logged(*parts), f"a log line with {parts}: {self.lines}")
 
     def finish(self):
+        """Waits for the process to end by itself; returns its exit code."""
         self.process.wait(PATIENCE_S)
         self.reader.join(PATIENCE_S)
         return self.process.returncode
@@ -302,7 +310,7 @@
 
 
 class PlatformCase(unittest.TestCase):
-    """The program with a command channel and the exchanges 1 and 2 beside its own, 0."""
+    """The program, at exchange 0, with a command channel and connections to the exchanges 1 and 2."""
 
     def setUp(self):
         self.folder = tempfile.TemporaryDirectory()
@@ -310,24 +318,24 @@
         self.channel = Channel()
         self.addCleanup(self.channel.close)
         self.one, self.two = self.exchange("s-1", 1), self.exchange("s-2", 2)
-        self.channel.tell(self.one.entry(), self.two.entry())
+        self.channel.publish(self.one.entry(), self.two.entry())
         self.program = self.start()
         self.one.accept()
         self.two.accept()
 
     def exchange(self, name, number, address=("127.0.0.1", 0)):
-        made = Exchange(name, number, address)
-        self.addCleanup(made.close)
-        return made
+        created = Exchange(name, number, address)
+        self.addCleanup(created.close)
+        return created
 
-    def stand(self, caller, uid="00000000000000a1"):
-        """A call that stands at the first exchange."""
+    def establish_call(self, caller, uid="00000000000000a1"):
+        """Sets up a call at the first exchange and answers it."""
         caller.launch(uid)
         self.assertEqual(self.one.read()[:2], (1, uid))
         self.one.answer(uid)
         self.assertEqual(caller.read()["kind"], "running")
 
-    def start(self, known=True, settings=None, env=None, limits=None):
+    def start(self, list_known=True, settings=None, env=None, limits=None):
         self.listen = ("127.0.0.1", 0)
         config = {
             "name": "n0",
@@ -336,8 +344,8 @@
             "channel": where(self.channel.sock),
             "settings": settings or SETTINGS,
             "known": {
-                "cursor": len(self.channel.events) if known else 0,
-                "cmds": self.channel.events if known else [],
+                "cursor": len(self.channel.events) if list_known else 0,
+                "cmds": self.channel.events if list_known else [],
             },
             "limits": limits or {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         }
@@ -351,15 +359,15 @@
         return program
 
     def caller(self):
-        made = Caller(self.address)
-        self.addCleanup(made.close)
-        return made
+        created = Caller(self.address)
+        self.addCleanup(created.close)
+        return created
 
     def reload(self, text):
-        """A new file in place of the old one, and the signal."""
-        fresh = self.path.with_suffix(".new")
-        fresh.write_text(text)
-        fresh.replace(self.path)
+        """Replaces the configuration file atomically and sends SIGHUP."""
+        replacement = self.path.with_suffix(".new")
+        replacement.write_text(text)
+        replacement.replace(self.path)
         self.program.process.send_signal(signal.SIGHUP)
 
     def terminate(self):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The real program on the platform's protocol: callers' lines, exchanges' frames, the command channel."""
+"""Tests of the real program over the platform's protocols: callers, exchanges and the command channel."""
 
 import json
 import select
@@ -14,23 +14,23 @@
 
 
 class Calls(PlatformCase):
-    def test_a_call_is_passed_on_answered_and_ended(self):
+    def test_call_is_forwarded_answered_and_ended(self):
         caller = self.caller()
         caller.launch(A, body="v=0\r\nm=audio é")
-        kind, uid, found = self.one.read()
+        kind, uid, parameters = self.one.read()
         self.assertEqual((kind, uid), (1, A))
-        self.assertEqual((found[16], found[28]), (b"rate-quote", b"7f3a"))
-        self.assertEqual(found[61].decode(), "v=0\r\nm=audio é")
-        self.assertTrue(1000 < int(found[19]) < 1500)
+        self.assertEqual((parameters[16], parameters[28]), (b"rate-quote", b"7f3a"))
+        self.assertEqual(parameters[61].decode(), "v=0\r\nm=audio é")
+        self.assertTrue(1000 < int(parameters[19]) < 1500)
         self.one.send(6, A)
         self.one.answer(A, "réponse\r\n".encode())
         answer = caller.read()
         self.assertEqual((answer["kind"], answer["uid"], answer["body"]), ("running", A, "réponse\r\n"))
         self.one.release(A, 16)
-        over = caller.read()
-        self.assertEqual((over["kind"], over["uid"], over["reason"]), ("stop", A, 16))
+        released = caller.read()
+        self.assertEqual((released["kind"], released["uid"], released["reason"]), ("stop", A, 16))
 
-    def test_a_refusal_is_final_at_once_and_says_when_to_come_back(self):
+    def test_refusal_is_immediate_and_says_when_to_retry(self):
         caller = self.caller()
         began = time.monotonic()
         caller.launch(A, left=9000)
@@ -40,9 +40,9 @@
         self.assertIn(refused["reason"], (34, 42, 102))
         self.assertTrue(0 < int(refused["meta"]["wait"]) <= 2000)
         self.assertLess(time.monotonic() - began, 2.0)
-        self.assertTrue(caller.silent(0.1))
+        self.assertTrue(caller.receives_nothing(0.1))
 
-    def test_no_answer_in_time_is_refused_before_the_caller_leaves_and_a_late_answer_is_released(self):
+    def test_unanswered_set_up_is_refused_before_its_deadline_and_a_late_answer_is_released(self):
         caller = self.caller()
         began = time.monotonic()
         caller.launch(A, left=400)
@@ -53,9 +53,9 @@
         self.assertEqual(self.one.read()[:2], (12, A))
         self.one.answer(A)
         self.assertEqual(self.one.read()[:2], (12, A))
-        self.assertTrue(caller.silent(0.1))
+        self.assertTrue(caller.receives_nothing(0.1))
 
-    def test_a_reset_attempt_is_sent_again_only_after_the_release_wait(self):
+    def test_cut_attempt_is_retried_only_after_the_release_time(self):
         caller = self.caller()
         caller.launch(A, left=1500)
         self.one.read()
@@ -66,79 +66,79 @@
         self.one.answer(A)
         self.assertEqual(caller.read()["kind"], "running")
 
-    def test_a_blocked_call_goes_round_by_the_other_exchange_one_attempt_at_a_time(self):
+    def test_blocked_call_is_retried_via_the_other_exchange_one_attempt_at_a_time(self):
         caller = self.caller()
         caller.launch(A)
         self.one.read()
-        self.assertFalse(select.select([self.two.links[0]], [], [], 0.1)[0])
+        self.assertFalse(select.select([self.two.connections[0]], [], [], 0.1)[0])
         self.one.release(A, 102, (37, b"atb"))
         self.assertEqual(self.two.read()[:2], (1, A))
         self.two.answer(A)
         self.assertEqual(caller.read()["kind"], "running")
 
-    def test_a_call_in_transit_goes_only_to_its_destination(self):
+    def test_call_in_transit_is_sent_only_to_its_destination(self):
         caller = self.caller()
         caller.launch(A, extras="width:1;via:2;transit:1")
         self.one.read()
         self.one.release(A, 102, (37, b"atb"))
         self.assertIn(caller.read()["reason"], (34, 42, 102))
 
-    def test_a_lost_exchange_connection_leaves_one_final_answer_and_a_release_for_what_stood(self):
+    def test_lost_exchange_connection_ends_set_ups_and_established_calls_once_each(self):
         caller = self.caller()
-        self.stand(caller)
+        self.establish_call(caller)
         caller.launch(B, left=1000)
         self.one.read()
         self.one.close()
         ended = {record["uid"]: record for record in (caller.read(), caller.read())}
         self.assertEqual({uid: record["kind"] for uid, record in ended.items()}, {A: "stop", B: "stop"})
         self.assertNotEqual(ended[A]["reason"], 16)
-        self.assertTrue(caller.silent(0.2))
+        self.assertTrue(caller.receives_nothing(0.2))
 
-    def test_the_end_of_a_call_goes_by_another_connection_when_its_own_is_gone(self):
+    def test_end_of_a_call_is_sent_on_another_connection_when_its_own_is_closed(self):
         first = self.caller()
-        self.stand(first)
+        self.establish_call(first)
         first.close()
         self.program.wait_log("end role=caller", "code=peer-closed")
         self.one.release(A, 16)
-        stranger = self.caller()  # who only connects may be nobody's caller
-        self.assertTrue(stranger.silent(0.2))
+        unused = self.caller()  # a connection that has carried no call may not be a caller's
+        self.assertTrue(unused.receives_nothing(0.2))
         second = self.caller()
         second.launch(B)
         self.assertEqual((second.read() or {}).get("uid"), A)
 
-    def test_a_set_up_given_up_is_released_and_owed_no_answer(self):
+    def test_withdrawn_set_up_is_released_and_gets_no_answer(self):
         caller = self.caller()
         caller.launch(A)
         self.one.read()
         caller.send(kind="stop", uid=A, meta={}, reason=16)
-        kind, uid, found = self.one.read()
-        self.assertEqual((kind, uid, found[58]), (12, A, b"\x10"))
-        self.assertTrue(caller.silent(0.1))
+        kind, uid, parameters = self.one.read()
+        self.assertEqual((kind, uid, parameters[58]), (12, A, b"\x10"))
+        self.assertTrue(caller.receives_nothing(0.1))
 
-    def test_a_call_that_stands_is_hung_up_from_another_connection(self):
-        self.stand(self.caller())
+    def test_established_call_can_be_hung_up_from_another_connection(self):
+        self.establish_call(self.caller())
         self.caller().send(kind="stop", uid=A, meta={}, reason=16)
         self.assertEqual(self.one.read()[:2], (12, A))
 
-    def test_a_release_of_a_call_from_before_a_restart_reaches_a_caller(self):
+    def test_release_of_a_call_from_before_a_restart_reaches_a_caller(self):
         caller = self.caller()
-        self.stand(caller, B)
+        self.establish_call(caller, B)
         self.one.release(C, 16)
-        over = caller.read()
-        self.assertEqual((over["kind"], over["uid"]), ("stop", C))
+        released = caller.read()
+        self.assertEqual((released["kind"], released["uid"]), ("stop", C))
 
-    def test_a_second_set_up_of_one_id_is_one_attempt_and_one_answer(self):
+    def test_duplicate_set_up_gives_one_attempt_and_one_answer(self):
         caller = self.caller()
         caller.launch(A)
         caller.launch(A)
         self.one.read()
         self.one.answer(A)
         self.assertEqual(caller.read()["kind"], "running")
-        self.assertTrue(caller.silent(0.1))
+        self.assertTrue(caller.receives_nothing(0.1))
 
 
-class Pressure(PlatformCase):
-    def test_a_mute_connection_is_given_up_and_what_was_open_there_settled(self):
+class ConnectionFailures(PlatformCase):
+    def test_silent_connection_is_closed_and_its_pending_set_up_retried(self):
         caller = self.caller()
         for _ in range(60):
             self.one.send(43, A, (43, b"idle:5;circuits:9"))
@@ -147,19 +147,19 @@
         began = time.monotonic()
         self.one.accept()
         self.assertLess(time.monotonic() - began, 0.6)
-        self.assertEqual(self.one.read()[:2], (12, A))  # it may stand there, its answer lost
+        self.assertEqual(self.one.read()[:2], (12, A))  # the call may be established there, its answer lost
         self.assertEqual(self.one.read()[:2], (1, A))
         self.one.answer(A)
         self.assertEqual(caller.read()["kind"], "running")
         self.assertEqual(len(self.program.wait_log("end role=exchange", "code=silent")), 1)
 
-    def test_a_link_that_answered_at_once_is_mute_sooner_and_not_for_one_lost_set_up(self):
+    def test_silence_is_detected_sooner_after_fast_answers_and_not_from_one_lost_answer(self):
         caller = self.caller()
         for number in range(6):
-            self.stand(caller, f"{number + 1:016x}")
+            self.establish_call(caller, f"{number + 1:016x}")
         caller.launch(A, left=2400)
         self.one.read()
-        self.stand(caller, B)  # the link speaks on: the answer to the first is lost by itself
+        self.establish_call(caller, B)  # the connection still works: only the first answer is lost
         for number in range(7):
             self.one.release(f"{number + 1:016x}" if number < 6 else B, 16)
             caller.read()
@@ -171,7 +171,7 @@
         self.assertLess(time.monotonic() - began, 0.6)
         self.program.wait_log("end role=exchange", "code=silent", "2 set-ups open")
 
-    def test_a_spoilt_answer_ends_its_link_and_all_that_is_open_there_is_settled_at_once(self):
+    def test_corrupted_answer_closes_its_connection_and_pending_set_ups_are_retried(self):
         for number, (length, kind, rest) in enumerate(
             (
                 (20, 123, b"\x3d\x00\x0812345678"),
@@ -185,14 +185,14 @@
             for uid in (first, second):
                 caller.launch(uid, left=1400, key=uid)
                 self.one.read()
-            spoilt = struct.pack("!HBQ", length, kind, int(first, 16)) + rest
+            corrupted = struct.pack("!HBQ", length, kind, int(first, 16)) + rest
             began = time.monotonic()
-            self.one.links[-1].sendall(spoilt)
+            self.one.connections[-1].sendall(corrupted)
             self.one.accept()
             self.assertEqual([self.one.read()[:2], self.one.read()[:2]], [(12, first), (12, second)])
-            again = [self.one.read()[:2], self.one.read()[:2]]
+            retried = [self.one.read()[:2], self.one.read()[:2]]
             self.assertTrue(0.3 <= time.monotonic() - began < 0.6)
-            self.assertEqual(again, [(1, first), (1, second)])
+            self.assertEqual(retried, [(1, first), (1, second)])
             for uid in (first, second):
                 self.one.answer(uid)
             self.assertEqual([caller.read()["body"], caller.read()["body"]], ["answer", "answer"])
@@ -200,28 +200,28 @@
                 self.one.release(uid, 16)
                 caller.read()
 
-    def test_answers_to_nothing_that_is_open_are_dropped_and_end_no_link_whatever_they_hold(self):
-        caller, noise = self.caller(), b"\x9a\x0e\xc4\x05\x00"
+    def test_unmatched_answers_are_dropped_and_close_no_connection_whatever_they_contain(self):
+        caller, garbage = self.caller(), b"\x9a\x0e\xc4\x05\x00"
         caller.launch(A)
         self.one.read()
-        for stray in (b"not for anybody", noise, b""):
-            self.one.answer(C, stray)
+        for content in (b"not for anybody", garbage, b""):
+            self.one.answer(C, content)
         self.one.answer(A)
-        for copy in (b"second copy", noise):
+        for copy in (b"second copy", garbage):
             self.one.answer(A, copy)
         self.assertEqual(caller.read()["body"], "answer")
         caller.launch(B)
         self.assertEqual(self.one.read()[:2], (1, B))
         caller.send(kind="stop", uid=B, meta={}, reason=16)
         self.assertEqual(self.one.read()[:2], (12, B))
-        self.one.answer(B, noise)  # late: left alone, the call would stand there unowned
+        self.one.answer(B, garbage)  # late: without a release the call would stay up at the exchange
         self.assertEqual(self.one.read()[:2], (12, B))
-        self.assertTrue(caller.silent(0.2))
+        self.assertTrue(caller.receives_nothing(0.2))
         self.one.release(A, 16)
         self.assertEqual(caller.read()["uid"], A)
-        self.assertFalse(select.select([self.one.links[-1], self.one.sock], [], [], 0.1)[0])
+        self.assertFalse(select.select([self.one.connections[-1], self.one.sock], [], [], 0.1)[0])
 
-    def test_a_connection_that_the_exchange_may_soon_close_is_renewed_before_a_set_up(self):
+    def test_connection_that_the_exchange_may_soon_close_is_renewed_before_a_set_up(self):
         program = self.start(settings={**SETTINGS, "limits": {**SETTINGS["limits"], "idle_close_s": 0.5}})
         old = self.one.accept()
         self.two.accept()
@@ -234,13 +234,13 @@
         self.assertIsNone(self.one.read(old))
         program.wait_log("end role=exchange", "s-1", "code=renewed")
 
-    def test_reading_pauses_while_a_caller_takes_nothing_and_nothing_is_lost(self):
+    def test_reading_pauses_while_a_caller_does_not_read_and_nothing_is_lost(self):
         caller = self.caller()
-        question = b'{"kind":"check","uid":"%s","meta":{},"reason":0}\n' % A.encode()
+        check_line = b'{"kind":"check","uid":"%s","meta":{},"reason":0}\n' % A.encode()
         caller.sock.setblocking(False)
         sent, rest = 0, b""
         while select.select([], [caller.sock], [], 1.0)[1]:
-            rest = rest or question * 500
+            rest = rest or check_line * 500
             rest = rest[caller.sock.send(rest) :]
             sent += 0 if rest else 500
         caller.sock.setblocking(True)
@@ -250,20 +250,20 @@
             answers += 1
         self.assertGreater(sent, 10_000)
 
-    def test_releases_that_nobody_takes_end_their_connection_and_go_by_another(self):
+    def test_releases_to_a_caller_that_does_not_read_close_its_connection_and_use_another(self):
         caller, calls = self.caller(), [f"{number:016x}" for number in range(1, 3801)]
-        self.one.chatter()
+        self.one.send_states()
         for uid in calls:
             caller.launch(uid)
             self.one.read()
             self.one.answer(uid)
             caller.read()
-        question = b'{"kind":"check","uid":"%s","meta":{},"reason":0}\n' % A.encode()
+        check_line = b'{"kind":"check","uid":"%s","meta":{},"reason":0}\n' % A.encode()
         caller.sock.setblocking(False)
         while select.select([], [caller.sock], [], 1.0)[1]:
-            caller.sock.send(question * 200)
+            caller.sock.send(check_line * 200)
         other = self.caller()
-        self.stand(other, "f" * 16)
+        self.establish_call(other, "f" * 16)
         for uid in calls:
             self.one.release(uid, 16)
         self.program.wait_log("end role=caller", "code=out-overflow")
@@ -273,13 +273,13 @@
 
 
 class Membership(PlatformCase):
-    def test_nothing_goes_to_an_exchange_once_it_is_told_to_drain_and_what_stands_there_is_heard(self):
+    def test_draining_exchange_gets_no_set_ups_and_the_ends_of_its_calls_are_processed(self):
         caller = self.caller()
         caller.launch(A)
         self.one.read()
         self.one.answer(A)
         caller.read()
-        self.channel.tell(self.one.entry("Terminating"))
+        self.channel.publish(self.one.entry("Terminating"))
         cursor = len(self.channel.events)
         polls = self.channel.polls
         until(lambda: self.channel.polls > polls and len(self.channel.events) == cursor, "the next poll")
@@ -287,53 +287,55 @@
         self.assertIn(caller.read()["reason"], (34, 42, 102))
         self.one.release(A, 16)
         self.assertEqual(caller.read()["uid"], A)
-        self.channel.tell(self.one.entry("Gone"))
+        self.channel.publish(self.one.entry("Gone"))
         self.assertIsNone(self.one.read())
         self.program.wait_log("end role=exchange", "s-1", "code=let-go")
 
-    def test_an_exchange_that_drains_may_be_silent_and_keeps_its_connection(self):
-        self.one.chatter(0.005)
-        until(lambda: self.one.told > 60, "enough to know how long its silences are")
-        self.stand(self.caller())
-        self.channel.tell(self.one.entry("Terminating"))
+    def test_draining_exchange_may_be_silent_and_keeps_its_connection(self):
+        self.one.send_states(0.005)
+        until(lambda: self.one.states_sent > 60, "enough frames to learn the gaps between them")
+        self.establish_call(self.caller())
+        self.channel.publish(self.one.entry("Terminating"))
         polls = self.channel.polls
         until(lambda: self.channel.polls > polls, "the next poll")
-        self.one.quiet = True
-        self.assertFalse(select.select([self.one.links[0], self.one.sock], [], [], 1.0)[0])
+        self.one.stop_states = True
+        self.assertFalse(select.select([self.one.connections[0], self.one.sock], [], [], 1.0)[0])
 
-    def test_what_stands_at_an_exchange_that_is_gone_is_released(self):
+    def test_calls_at_an_exchange_that_is_gone_are_released(self):
         caller = self.caller()
         caller.launch(A)
         self.one.read()
         self.one.answer(A)
         caller.read()
-        self.channel.tell(self.one.entry("Gone"))
+        self.channel.publish(self.one.entry("Gone"))
         self.assertEqual(caller.read()["kind"], "stop")
 
-    def test_a_new_exchange_may_have_the_address_of_one_that_is_gone(self):
+    def test_new_exchange_may_have_the_address_of_one_that_is_gone(self):
         address = self.one.sock.getsockname()
-        self.channel.tell(self.one.entry("Gone"))
+        self.channel.publish(self.one.entry("Gone"))
         self.assertIsNone(self.one.read())
         self.one.close()
         new = self.exchange("s-9", 1, address)
-        self.channel.tell(new.entry(since=1), self.two.entry())
+        self.channel.publish(new.entry(since=1), self.two.entry())
         new.accept()
         caller = self.caller()
         caller.launch(A)
         self.assertEqual(new.read()[:2], (1, A))
 
-    def test_the_test_is_answered_only_once_the_list_is_known(self):
+    def test_check_is_answered_only_once_the_list_of_exchanges_is_known(self):
         self.channel.events.clear()
-        program = self.start(known=False)
+        program = self.start(list_known=False)
         caller = self.caller()
         caller.send(kind="check", uid="", meta={}, reason=0)
-        self.assertTrue(caller.silent(0.3))
-        self.channel.tell(self.one.entry(), self.two.entry())
+        self.assertTrue(caller.receives_nothing(0.3))
+        self.channel.publish(self.one.entry(), self.two.entry())
         self.assertEqual((caller.read() or {}).get("reason"), 1)
         self.assertEqual(program.logged("fault "), [])
 
-    def test_a_bad_entry_of_the_list_is_passed_over_and_logged(self):
-        self.channel.tell({"name": "s-7", "status": "Ready"}, {"address": 5}, self.two.entry("Terminating"))
+    def test_invalid_list_entry_is_skipped_and_logged(self):
+        self.channel.publish(
+            {"name": "s-7", "status": "Ready"}, {"address": 5}, self.two.entry("Terminating")
+        )
         self.program.wait_log("bad-endpoint")
         caller = self.caller()
         caller.launch(A)
@@ -350,18 +352,18 @@
         new.events.extend(self.channel.events)
         self.reload(json.dumps({**self.config, "channel": where(new.sock)}))
         self.program.wait_log("end role=channel", "code=moved")
-        until(lambda: new.polls, "a question at the new address")
-        new.tell(self.two.entry("Gone"))
+        until(lambda: new.polls, "a poll at the new address")
+        new.publish(self.two.entry("Gone"))
         self.assertIsNone(self.two.read())
         self.one.answer(A)
-        self.assertEqual((caller.read()["kind"], len(self.one.links)), ("running", 1))
+        self.assertEqual((caller.read()["kind"], len(self.one.connections)), ("running", 1))
 
-    def test_a_bad_file_leaves_the_running_configuration_in_force(self):
+    def test_invalid_file_leaves_the_running_configuration_in_force(self):
         for text in ("{", "\ud800", json.dumps({**self.config, "channel": 5})):
             self.program.lines.clear()
             self.reload(text.encode("utf-8", "surrogatepass").decode("latin-1"))
             self.program.wait_log("reload kept=running")
-        self.channel.tell(self.two.entry("Gone"))
+        self.channel.publish(self.two.entry("Gone"))
         self.assertIsNone(self.two.read())
         self.reload("{")
         self.terminate()
@@ -369,24 +371,24 @@
         self.assertEqual(self.program.finish(), 0)
 
 
-class News(PlatformCase):
-    def answer_by_hand(self, *answers):
-        """A command channel whose answers are given byte for byte; each ends its connection, None stays mute.
-        The numbers asked for."""
+class CommandChannel(PlatformCase):
+    def serve_raw_responses(self, *answers):
+        """A command channel that sends the given bytes and closes its connection after each; for None it
+        sends nothing and stays open. Returns the paths requested."""
         sock = listener()
         self.addCleanup(sock.close)
         self.reload(json.dumps({**self.config, "channel": where(sock)}))
-        asked = []
+        paths = []
         for answer in answers:
-            link = sock.accept()[0]
-            self.addCleanup(link.close)
-            asked.append(link.recv(4096).split(b" ")[1].decode())
+            connection = sock.accept()[0]
+            self.addCleanup(connection.close)
+            paths.append(connection.recv(4096).split(b" ")[1].decode())
             if answer is not None:
-                link.sendall(answer)
-                link.close()
-        return asked
+                connection.sendall(answer)
+                connection.close()
+        return paths
 
-    def test_half_an_event_is_not_taken_and_a_mute_channel_is_asked_anew_soon(self):
+    def test_truncated_response_is_not_applied_and_a_silent_channel_is_polled_again_soon(self):
         body = json.dumps(
             {
                 "cursor": 2,
@@ -398,51 +400,53 @@
                 ],
             }
         ).encode()
-        whole = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
+        response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
         began = time.monotonic()
-        asked = self.answer_by_hand(whole[:-60], None, b"", whole)
+        paths = self.serve_raw_responses(response[:-60], None, b"", response)
         self.assertLess(time.monotonic() - began, 2.5)
-        self.assertEqual([item.split("?")[1].split("&")[0] for item in asked], ["resume=1"] * 4)
+        self.assertEqual([item.split("?")[1].split("&")[0] for item in paths], ["resume=1"] * 4)
         self.assertIsNone(self.one.read())
         self.assertIsNone(self.two.read())
 
 
-class Pressed(PlatformCase):
-    def serve(self, caller, uids):
-        """Calls set up at once, and answered in their order; how many stood."""
+class AdmissionControl(PlatformCase):
+    def establish_calls(self, caller, uids):
+        """Sets up calls at once and answers them in order; returns how many were established."""
         for uid in uids:
             caller.launch(uid, left=9000)
         for _ in uids:
-            if not select.select([self.one.links[-1]], [], [], 0.2)[0]:
+            if not select.select([self.one.connections[-1]], [], [], 0.2)[0]:
                 break
             self.one.answer(self.one.read()[1])
         return [caller.read()["kind"] for _ in uids].count("running")
 
-    def test_lost_set_ups_shut_no_exchange_that_answers_later_ones_at_once(self):
+    def test_lost_set_ups_do_not_block_an_exchange_that_answers_later_ones_at_once(self):
         caller = self.caller()
         for number in range(8):
             caller.launch(f"{number + 1:016x}", left=9000)
             self.one.read()
         uids = [f"{number + 100:016x}" for number in range(40)]
-        self.assertEqual([uid for uid in uids if not self.serve(caller, [uid])], uids[:0])
+        self.assertEqual([uid for uid in uids if not self.establish_calls(caller, [uid])], uids[:0])
 
-    def test_callers_that_leave_no_time_shut_no_exchange(self):
+    def test_set_ups_with_too_little_time_left_do_not_block_an_exchange(self):
         caller = self.caller()
         for number in range(12):
             caller.launch(f"{number + 1:016x}", left=100)
             self.assertEqual(self.one.read()[0], 1)
             self.assertEqual(self.one.read()[0], 12)
             self.assertEqual(caller.read()["kind"], "stop")
-        self.assertEqual(self.serve(caller, [f"{number + 100:016x}" for number in range(4)]), 4)
+        self.assertEqual(self.establish_calls(caller, [f"{number + 100:016x}" for number in range(4)]), 4)
 
-    def test_a_fresh_controller_takes_as_much_at_once_as_is_answered_at_once(self):
+    def test_new_controller_admits_as_many_calls_at_once_as_are_answered_at_once(self):
         caller = self.caller()
         for batch in range(12):
             count = 12 if batch else 5
-            self.assertEqual(self.serve(caller, [f"{batch * 16 + n + 1:016x}" for n in range(count)]), count)
+            self.assertEqual(
+                self.establish_calls(caller, [f"{batch * 16 + n + 1:016x}" for n in range(count)]), count
+            )
 
 
-class Crowd(PlatformCase):
+class ConnectionLimits(PlatformCase):
     LIMITS = {"cores": 1.0, "memory_mb": 64, "sockets": 64}
 
     def setUp(self):
@@ -451,38 +455,38 @@
         self.one.accept()
         self.two.accept()
 
-    def test_the_usual_callers_are_served_among_more_silent_connections_than_there_is_room_for(self):
-        usual = self.caller()
-        self.stand(usual)
-        silent = [self.caller() for _ in range(self.LIMITS["sockets"] * 2)]
+    def test_callers_with_calls_are_served_despite_more_unused_connections_than_the_limit(self):
+        carrier = self.caller()
+        self.establish_call(carrier)
+        unused = [self.caller() for _ in range(self.LIMITS["sockets"] * 2)]
         late = self.caller()
-        self.stand(late, B)
-        held = len(list(Path(f"/proc/{self.program.process.pid}/fd").iterdir()))
-        self.assertLessEqual(held, self.LIMITS["sockets"])
+        self.establish_call(late, B)
+        descriptors = len(list(Path(f"/proc/{self.program.process.pid}/fd").iterdir()))
+        self.assertLessEqual(descriptors, self.LIMITS["sockets"])
         self.one.release(A, 16)
-        self.assertEqual(usual.read()["uid"], A)
-        self.assertEqual(self.program.logged("end role=caller", "code=crowded", f"{usual.port()} "), [])
-        for caller in silent:
+        self.assertEqual(carrier.read()["uid"], A)
+        self.assertEqual(self.program.logged("end role=caller", "code=crowded", f"{carrier.port()} "), [])
+        for caller in unused:
             self.assertIsNone(caller.read())
 
-    def test_who_only_asks_whether_we_are_there_makes_room_for_those_who_carry_calls(self):
-        usual = self.caller()
-        self.stand(usual)
+    def test_connections_with_only_checks_are_closed_before_those_that_carry_calls(self):
+        carrier = self.caller()
+        self.establish_call(carrier)
         self.one.release(A, 16)
-        usual.read()
+        carrier.read()
         for _ in range(self.LIMITS["sockets"]):
-            asker = self.caller()
-            asker.send(kind="check", uid=A, meta={}, reason=0)
-            self.assertEqual(asker.read()["kind"], "checked")
+            checker = self.caller()
+            checker.send(kind="check", uid=A, meta={}, reason=0)
+            self.assertEqual(checker.read()["kind"], "checked")
         self.program.wait_log("end role=caller", "code=crowded")
-        self.stand(usual, B)
-        self.assertEqual(self.program.logged("end role=caller", f":{usual.port()} "), [])
+        self.establish_call(carrier, B)
+        self.assertEqual(self.program.logged("end role=caller", f":{carrier.port()} "), [])
 
-    def test_a_set_up_that_lies_unread_in_a_flood_keeps_its_connection(self):
+    def test_connection_with_an_unread_set_up_is_kept_in_a_flood(self):
         callers = [self.caller() for _ in range(self.LIMITS["sockets"] * 3 // 4)]
-        for asker in callers:
-            asker.send(kind="check", uid=A, meta={}, reason=0)
-            self.assertEqual(asker.read()["kind"], "checked")
+        for checker in callers:
+            checker.send(kind="check", uid=A, meta={}, reason=0)
+            self.assertEqual(checker.read()["kind"], "checked")
         self.program.process.send_signal(signal.SIGSTOP)
         for _ in range(16):
             self.caller()
@@ -493,26 +497,26 @@
         self.assertEqual(callers[0].read()["kind"], "running")
         self.program.wait_log("end role=caller", "code=crowded")
 
-    def test_who_says_nothing_usable_is_closed_within_three_seconds(self):
-        began, half = time.monotonic(), self.caller()
-        half.sock.sendall(b'{"kind":"launch","uid":')
-        for caller in (half, self.caller()):
+    def test_connection_without_a_usable_message_is_closed_within_three_seconds(self):
+        began, partial = time.monotonic(), self.caller()
+        partial.sock.sendall(b'{"kind":"launch","uid":')
+        for caller in (partial, self.caller()):
             self.assertIsNone(caller.read())
         self.assertLess(time.monotonic() - began, 3)
         self.program.wait_log("end role=caller", "code=unused")
 
-    def test_a_flood_of_bad_set_ups_is_answered_slowed_and_closed_and_keeps_nobody_waiting(self):
+    def test_flood_of_bad_set_ups_is_answered_slowed_and_closed_and_delays_no_other_caller(self):
         bad, good = self.caller(), self.caller()
         line = json.dumps({"kind": "launch", "uid": C, "meta": {"class": "x"}, "body": "b"}).encode() + b"\n"
         bad.sock.sendall(line * 3000)
         self.assertEqual(bad.read()["reason"], 41)
-        self.stand(good)
+        self.establish_call(good)
         answers = 1
         while bad.read():
             answers += 1
         self.assertLessEqual(answers, 8)
 
-    def test_an_open_id_used_again_with_another_description_is_never_served(self):
+    def test_open_id_reused_with_another_description_is_never_served(self):
         first, other = self.caller(), self.caller()
         first.launch(A)
         self.one.read()
@@ -526,15 +530,15 @@
         self.assertIsNone(first.read())
         self.assertEqual(self.one.read()[:2], (12, B))
 
-    def test_an_id_used_again_after_its_end_is_refused(self):
+    def test_id_reused_after_its_end_is_refused(self):
         caller = self.caller()
-        self.stand(caller)
+        self.establish_call(caller)
         self.one.release(A, 16)
         caller.read()
         caller.launch(A)
         self.assertIn(caller.read()["reason"], (34, 42, 102))
 
-    def test_set_ups_taken_back_in_the_same_breath_never_leave(self):
+    def test_set_ups_withdrawn_in_the_same_write_are_never_sent(self):
         caller, lines = self.caller(), []
         for number in range(6):
             uid = f"{number + 1:016x}"
@@ -559,13 +563,13 @@
 
 
 class BadInput(PlatformCase):
-    def ends_with(self, data, code):
+    def assert_closed_with(self, data, code):
         caller = self.caller()
         caller.sock.sendall(data)
         self.assertIsNone(caller.read())
         self.program.wait_log("end role=caller", f"code={code}")
 
-    def test_lines_that_cannot_be_read_close_their_connection_with_a_code(self):
+    def test_invalid_lines_close_their_connection_with_a_code(self):
         for data in (
             b"\xff\xfe\n",
             b"[]\n",
@@ -576,11 +580,11 @@
             b'{"kind":"stop","uid":"00"}\n',
         ):
             self.program.lines.clear()
-            self.ends_with(data, "bad-line")
-        self.ends_with(b"x" * 20000, "long-line")
+            self.assert_closed_with(data, "bad-line")
+        self.assert_closed_with(b"x" * 20000, "long-line")
         self.assertEqual(self.program.logged("fault "), [])
 
-    def test_a_set_up_with_bad_fields_is_failed_and_the_connection_goes_on(self):
+    def test_set_up_with_bad_fields_is_failed_and_later_set_ups_are_accepted(self):
         caller = self.caller()
         for meta in (
             {},
@@ -613,14 +617,14 @@
         caller.launch(B, novelty="yes")
         self.assertEqual(self.one.read()[:2], (1, B))
 
-    def test_frames_that_cannot_be_read_close_the_link_and_open_a_new_one(self):
+    def test_invalid_frames_close_the_connection_and_a_new_one_is_opened(self):
         for data in (
             b"\x00\x03abc",
             b"\x00\x0c\x09" + b"\x00" * 7 + b"\xa1\x3d\x00\x05",
             b"\xff\xff",
             b"\x00\x09\x0c" + b"\x00" * 8,
         ):
-            self.one.links[-1].sendall(data)
+            self.one.connections[-1].sendall(data)
             self.assertIsNone(self.one.read())
             self.one.accept()
         for kind, values in ((43, ((43, b"idle:nan;circuits:5"),)), (12, ((58, b"\x22"), (40, b"inf")))):
@@ -634,8 +638,8 @@
         self.assertEqual(self.one.read()[:2], (1, A))
 
 
-class Leaving(PlatformCase):
-    def test_sigterm_accepts_on_answers_what_was_taken_and_ends_with_zero(self):
+class Shutdown(PlatformCase):
+    def test_sigterm_still_accepts_answers_open_set_ups_and_exits_with_zero(self):
         caller = self.caller()
         caller.launch(A, left=2500)
         self.one.read()
@@ -653,7 +657,7 @@
         self.assertEqual(self.program.finish(), 0)
         self.assertEqual(len(self.program.logged("end role=caller", "code=leaving")), 2)
 
-    def test_what_is_unanswered_shortly_before_sigkill_is_refused(self):
+    def test_unanswered_set_ups_are_refused_shortly_before_sigkill(self):
         caller = self.caller()
         caller.launch(A, left=9000)
         self.one.read()
@@ -663,7 +667,7 @@
         self.assertLess(time.monotonic() - began, 3.7)
         self.assertEqual(self.program.finish(), 0)
 
-    def test_each_connection_leaves_one_line(self):
+    def test_each_connection_logs_one_line_at_its_end(self):
         for _ in range(3):
             self.caller().close()
         until(lambda: len(self.program.logged("end role=caller", "peer-closed")) == 3, "three lines")
@@ -673,11 +677,11 @@
             self.assertEqual(len(self.program.logged(f"end role={role}", "code=leaving")), lines)
             self.assertEqual(len(self.program.logged(f"end role={role}")), lines)
 
-    def test_a_bad_configuration_ends_the_program_and_names_the_key(self):
+    def test_invalid_configuration_ends_the_program_and_names_the_key(self):
         from .platform_harness import Program
 
-        wrong = json.loads(json.dumps(SETTINGS))
-        del wrong["rules"]["cold_share"]
+        invalid_settings = json.loads(json.dumps(SETTINGS))
+        del invalid_settings["rules"]["cold_share"]
         path = f"{self.folder.name}/bad.json"
         for text, key in (
             ("{", "configuration"),
@@ -690,7 +694,7 @@
                         "seed": "1",
                         "channel": "127.0.0.1:1",
                         "known": {"cursor": 0, "cmds": []},
-                        "settings": wrong,
+                        "settings": invalid_settings,
                     }
                 ),
                 "settings.rules.cold_share",
