--- a/chutefork/sip/agent.py
+++ b/chutefork/sip/agent.py
@@ -14,120 +14,138 @@
     from ..net.clock import TurnReactor
 
 
-class Side(Protocol):
-    """One side of a call: what the agent tells the owner of a dialog."""
+class DialogOwner(Protocol):
+    """One side of a call; the agent notifies it of requests within its dialogs."""
 
-    def hung_up(self) -> None: ...
-    def acked(self, request: sip.Request) -> None: ...
+    def bye_received(self) -> None: ...
+    def ack_received(self, request: sip.Request) -> None: ...
 
 
 class SipAgent:
+    """Answers requests, passes those that concern a call to the front or the legs, and sends requests.
+
+    `on_invite` is called with the transaction of each INVITE outside a dialog, `on_cancel` with that of an
+    INVITE that was cancelled before its final response, `on_early_bye` with each BYE that matches no dialog.
+    It returns whether the BYE ended a call that had no final response yet.
+    """
+
     def __init__(self, transport: SipTransport, clock: TurnReactor, timing: Timing, advertise: str) -> None:
         self.transport = transport
         self.clock = clock
         self.timing = timing
         self.advertise = advertise
         self.layer = TransactionLayer(transport, clock, timing)
-        self.layer.requested = self.requested
-        self.layer.acked = self.acked
-        self.dialogs: dict[DialogId, tuple[Dialog, Side]] = {}
-        self.invited: Callable[[ServerTransaction], None] = lambda transaction: None
-        self.cancelled: Callable[[ServerTransaction], None] = lambda transaction: None
-        self.early_bye: Callable[[sip.Request], bool] = lambda request: False
+        self.layer.on_request = self.request_received
+        self.layer.on_ack = self.ack_received
+        self.dialogs: dict[DialogId, tuple[Dialog, DialogOwner]] = {}
+        self.on_invite: Callable[[ServerTransaction], None] = lambda transaction: None
+        self.on_cancel: Callable[[ServerTransaction], None] = lambda transaction: None
+        self.on_early_bye: Callable[[sip.Request], bool] = lambda request: False
 
     @property
     def address(self) -> tuple[str, int]:
+        """Host and port for Contact and Via: the advertised ones, else those listened on."""
         host, _, port = self.advertise.rpartition(":")
         return (host, int(port)) if host else (self.transport.host, self.transport.port)
 
     def contact(self, transport: str) -> str:
+        """The value of a Contact header for messages over this transport (UDP or TCP)."""
         host, port = self.address
         return f"<sip:{host}:{port}{';transport=tcp' if transport == 'TCP' else ''}>"
 
     # ---- dialogs
 
-    def join(self, dialog: Dialog, side: Side) -> None:
-        self.dialogs[dialog.id] = dialog, side
+    def add_dialog(self, dialog: Dialog, owner: DialogOwner) -> None:
+        self.dialogs[dialog.id] = dialog, owner
 
-    def part(self, dialog: Dialog) -> None:
+    def remove_dialog(self, dialog: Dialog) -> None:
         self.dialogs.pop(dialog.id, None)
 
-    def bye(self, dialog: Dialog) -> None:
-        """Ends a dialog: it is over here whatever the peer answers."""
-        self.part(dialog)
-        request, target = dialog.request("BYE", self.address)
-        self.send(request, target)
+    def send_bye(self, dialog: Dialog) -> None:
+        """Ends a dialog. It is over here at once, whatever the peer answers."""
+        self.remove_dialog(dialog)
+        request, target = dialog.create_request("BYE", self.address)
+        self.send_request(request, target)
 
-    def send(
+    def send_request(
         self,
         request: sip.Request,
         target: Target,
-        heard: Callable[[sip.Response], None] = lambda response: None,
-        failed: Callable[[str], None] = lambda why: None,
+        on_response: Callable[[sip.Response], None] = lambda response: None,
+        on_failure: Callable[[str], None] = lambda reason: None,
     ) -> ClientTransaction:
-        return self.layer.request(request, target, heard, failed)
+        """Sends a request in a new client transaction, which calls back as described there."""
+        return self.layer.send_request(request, target, on_response, on_failure)
 
-    # ---- what comes in
+    # ---- incoming requests
 
-    def requested(self, server: ServerTransaction) -> None:
+    def request_received(self, server: ServerTransaction) -> None:
         request = server.request
         method = request.method
         if request.max_forwards == 0 and method != "CANCEL":
-            self.refuse(server, 483)
+            self.respond(server, 483)
         elif method not in sip.METHODS:
-            self.refuse(server, 405, (("Allow", sip.ALLOW),))
+            self.respond(server, 405, (("Allow", sip.ALLOW),))
         elif request.require and method != "CANCEL":
-            self.refuse(server, 420, (("Unsupported", ", ".join(request.require)),))
+            self.respond(server, 420, (("Unsupported", ", ".join(request.require)),))
         elif method == "CANCEL":
-            self.cancel(server)
+            self.cancel_received(server)
         elif sip.tag_of(request.to_address):
-            self.within(server)
+            self.dialog_request_received(server)
         elif method == "INVITE":
-            self.invited(server)
+            self.on_invite(server)
         elif method == "OPTIONS":
-            self.refuse(server, 200, (("Allow", sip.ALLOW), ("Accept", "application/sdp")))
+            self.respond(server, 200, (("Allow", sip.ALLOW), ("Accept", "application/sdp")))
         else:
-            self.refuse(server, 481)
+            self.respond(server, 481)
 
     @staticmethod
-    def refuse(server: ServerTransaction, code: int, extra: tuple[tuple[str, str], ...] = ()) -> None:
-        server.respond(sip.response_to(server.request, code, sip.tag() if code > 100 else "", extra=extra))
-
-    def cancel(self, server: ServerTransaction) -> None:
-        invite = self.layer.cancelled(server.request)
+    def respond(
+        server: ServerTransaction, code: int, extra_headers: tuple[tuple[str, str], ...] = ()
+    ) -> None:
+        """Sends a response without a body; all but 100 get a To tag."""
+        server.respond(
+            sip.response_to(
+                server.request, code, sip.new_tag() if code > 100 else "", extra_headers=extra_headers
+            )
+        )
+
+    def cancel_received(self, server: ServerTransaction) -> None:
+        invite = self.layer.find_cancelled(server.request)
         if invite is None:
-            self.refuse(server, 481)
+            self.respond(server, 481)
             return
-        self.refuse(server, 200)
-        if not invite.final:  # else it crossed the final response, which stands
-            self.cancelled(invite)
+        self.respond(server, 200)
+        if not invite.final_code:  # a CANCEL that crossed the final response has no effect
+            self.on_cancel(invite)
 
-    def within(self, server: ServerTransaction) -> None:
+    def dialog_request_received(self, server: ServerTransaction) -> None:
         request = server.request
-        found = self.dialogs.get(self.id_of(request))
-        if found is None:
-            if request.method == "BYE" and self.early_bye(request):
-                self.refuse(server, 200)
+        entry = self.dialogs.get(self.dialog_id_of(request))
+        if entry is None:
+            if request.method == "BYE" and self.on_early_bye(request):
+                self.respond(server, 200)
             else:
-                self.refuse(server, 481)
+                self.respond(server, 481)
             return
-        dialog, side = found
-        if not dialog.accepts(request):
-            self.refuse(server, 500)
+        dialog, owner = entry
+        if not dialog.accept_in_order(request):
+            self.respond(server, 500)
         elif request.method == "BYE":
-            self.part(dialog)
-            self.refuse(server, 200)
-            side.hung_up()
+            self.remove_dialog(dialog)
+            self.respond(server, 200)
+            owner.bye_received()
         elif request.method == "OPTIONS":
-            self.refuse(server, 200, (("Allow", sip.ALLOW), ("Accept", "application/sdp")))
-        else:  # a re-INVITE: the session stays as it was agreed
-            self.refuse(server, 488)
+            self.respond(server, 200, (("Allow", sip.ALLOW), ("Accept", "application/sdp")))
+        else:  # a re-INVITE: changes of the session are not supported
+            self.respond(server, 488)
 
-    def acked(self, request: sip.Request) -> None:
-        found = self.dialogs.get(self.id_of(request))
-        if found is not None:
-            found[1].acked(request)
+    def ack_received(self, request: sip.Request) -> None:
+        entry = self.dialogs.get(self.dialog_id_of(request))
+        if entry is not None:
+            entry[1].ack_received(request)
 
     @staticmethod
-    def id_of(request: sip.Request) -> DialogId:
+    def dialog_id_of(request: sip.Request) -> DialogId:
+        """The dialog of a received request: its To tag is the local one."""
         return DialogId(request.call_id, sip.tag_of(request.to_address), sip.tag_of(request.from_address))
--- a/chutefork/sip/front.py
+++ b/chutefork/sip/front.py
@@ -1,4 +1,4 @@
-"""The upstream side: INVITEs of callers become the core's arrivals, its answers become responses."""
+"""The upstream side: callers' INVITEs become arrivals for the core, its answers become responses."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     from .legs import SipLegs
     from .settings import SipConfig
 
-CODES = {
+STATUS_CODES = {
     messages.FailureCause.UNAVAILABLE: 503,
     messages.FailureCause.LINES_BUSY: 486,
     messages.FailureCause.NO_ANSWER: 504,
@@ -25,240 +25,250 @@
     messages.FailureCause.UNKNOWN_DESTINATION: 404,
     messages.FailureCause.NETWORK_ERROR: 500,
 }
-MOST_OWED = 4000  # INVITEs without their answer
-TRANSIT = "X-Transit"  # on a call sent round by us: the number of the exchange that it comes from
+MAX_UNANSWERED = 4000  # INVITEs without a final response
+TRANSIT_HEADER = "X-Transit"  # on a call sent via a tandem: the number of the originating exchange
 
 
 @dataclass(slots=True, eq=False)
-class Asked:
-    """What the legs need of a call to send it on."""
+class CallRequest:
+    """What the legs need to know of a call to send it to a hub."""
 
     number: str
     body: bytes
-    sender: str
-    hops: int
-    destination: int
+    caller_address: str  # the caller's From without its tag
+    max_forwards: int  # for the request to the hub
+    destination: int  # number of the exchange that the route names
 
 
 class SipCall:
-    """One caller's INVITE and, once it is answered, its dialog."""
+    """A caller's INVITE and, once the call is answered, its dialog."""
 
-    def __init__(self, front: SipFront, call: int, server: ServerTransaction, asked: Asked) -> None:
+    def __init__(
+        self, front: SipFront, call: int, server: ServerTransaction, call_request: CallRequest
+    ) -> None:
         self.front = front
         self.agent = front.agent
         self.call = call
         self.server = server
-        self.asked = asked
-        self.tag = sip.tag()
+        self.call_request = call_request
+        self.tag = sip.new_tag()
         self.dialog: Dialog | None = None
-        self.confirmed = False
-        self.over = False
-        self.answer_data = b""
+        self.confirmed = False  # the ACK for the 200 has come
+        self.ended = False
+        self.ok_response = b""
         self.timers: list = []
 
-    def progress(self) -> None:
+    def send_ringing(self) -> None:
         contact = ("Contact", self.agent.contact(self.server.source.transport))
-        self.server.respond(sip.response_to(self.server.request, 180, self.tag, extra=(contact,)))
+        self.server.respond(sip.response_to(self.server.request, 180, self.tag, extra_headers=(contact,)))
 
-    def stand(self, description: str) -> None:
+    def answer(self, description: str) -> None:
+        """Sends the 200 with the hub's session description, and again until its ACK comes."""
         transport = self.server.source.transport
         response = sip.response_to(
             self.server.request,
             200,
             self.tag,
-            extra=(("Contact", self.agent.contact(transport)), ("Allow", sip.ALLOW)),
+            extra_headers=(("Contact", self.agent.contact(transport)), ("Allow", sip.ALLOW)),
         )
-        sip.with_body(response, description.encode("utf-8", "surrogateescape"))
-        self.answer_data = bytes(response)
-        self.dialog = Dialog.of_server(self.server.request, self.tag, self.server.source)
-        self.agent.join(self.dialog, self)
+        sip.set_body(response, description.encode("utf-8", "surrogateescape"))
+        self.ok_response = bytes(response)
+        self.dialog = Dialog.of_uas(self.server.request, self.tag, self.server.source)
+        self.agent.add_dialog(self.dialog, self)
         self.server.respond(response)
         timing = self.agent.timing
-        self.repeat(timing.t1_s)
-        self.timers.append(self.agent.clock.callLater(timing.limit_s, self.unacked))
+        self.schedule_retransmission(timing.t1_s)
+        self.timers.append(self.agent.clock.callLater(timing.timeout_s, self.ack_timeout))
 
-    def repeat(self, gap_s: float) -> None:
-        """The 200 again until its ACK comes, over TCP as well (RFC 3261 13.3.1.4)."""
-        self.timers.insert(0, self.agent.clock.callLater(gap_s, self.again, gap_s))
+    def schedule_retransmission(self, interval_s: float) -> None:
+        """The 200 is retransmitted until its ACK comes, over TCP as well (RFC 3261 13.3.1.4)."""
+        self.timers.insert(0, self.agent.clock.callLater(interval_s, self.retransmit, interval_s))
 
-    def again(self, gap_s: float) -> None:
+    def retransmit(self, interval_s: float) -> None:
         self.timers.pop(0)
-        self.agent.transport.send(self.answer_data, self.server.target)
-        self.repeat(min(2 * gap_s, self.agent.timing.t2_s))
+        self.agent.transport.send(self.ok_response, self.server.target)
+        self.schedule_retransmission(min(2 * interval_s, self.agent.timing.t2_s))
 
-    def still(self) -> None:
+    def stop_timers(self) -> None:
         for timer in self.timers:
             if timer.active():
                 timer.cancel()
         self.timers.clear()
 
-    def acked(self, request: sip.Request) -> None:
+    def ack_received(self, request: sip.Request) -> None:
         if self.confirmed:
             return
         self.confirmed = True
-        self.still()
-        self.front.legs.acked(self.call, request.body)
-        if self.over:
-            self.agent.bye(self.dialog)
+        self.stop_timers()
+        self.front.legs.caller_ack_received(self.call, request.body)
+        if self.ended:
+            self.agent.send_bye(self.dialog)
 
-    def unacked(self) -> None:
-        """The ACK never came: the call cannot be said to stand."""
+    def ack_timeout(self) -> None:
+        """No ACK came within 64*T1: the call is not established and ends (RFC 3261 13.3.1.4)."""
         self.hang_up()
 
-    def hung_up(self) -> None:
-        self.still()
-        if not self.over:
-            self.front.gone(self)
+    def bye_received(self) -> None:
+        self.stop_timers()
+        if not self.ended:
+            self.front.call_ended(self)
 
     def hang_up(self) -> None:
-        """Ended from here, on both sides."""
-        self.still()
-        self.over = self.confirmed = True
-        self.agent.bye(self.dialog)
-        self.front.gone(self)
+        """Ends the call on both sides."""
+        self.stop_timers()
+        self.ended = self.confirmed = True
+        self.agent.send_bye(self.dialog)
+        self.front.call_ended(self)
 
     def end(self) -> None:
-        """The hub's side ended; a BYE goes out no sooner than the ACK has come (RFC 3261 15)."""
-        self.over = True
+        """Ends the caller's side after the hub's; the BYE must wait for the caller's ACK (RFC 3261 15)."""
+        self.ended = True
         if self.confirmed:
-            self.agent.bye(self.dialog)
+            self.agent.send_bye(self.dialog)
 
 
 class SipFront:
+    """All calls of callers, from the INVITE to the end of the dialog."""
+
     def __init__(self, driver: Driver, agent: SipAgent, config: SipConfig, legs: SipLegs) -> None:
         self.driver = driver
         self.agent = agent
         self.config = config
         self.legs = legs
-        self.owed: dict[int, SipCall] = {}
-        self.standing: dict[int, SipCall] = {}
-        self.by_server: dict[ServerTransaction, int] = {}
-        self.tries: dict[tuple, ServerTransaction] = {}  # RFC 3261 8.2.2.2: one try that came by two ways
-        self.calls = 0
-        self.leaving = False
-        agent.invited = self.invited
-        agent.cancelled = self.cancelled
-        agent.early_bye = self.early_bye
-
-    def invited(self, server: ServerTransaction) -> None:
+        self.unanswered: dict[int, SipCall] = {}
+        self.established: dict[int, SipCall] = {}
+        self.by_transaction: dict[ServerTransaction, int] = {}
+        self.invites: dict[tuple, ServerTransaction] = {}  # to detect merged requests (RFC 3261 8.2.2.2)
+        self.last_call = 0  # number of the latest call
+        self.shutting_down = False
+        agent.on_invite = self.invite_received
+        agent.on_cancel = self.cancel_received
+        agent.on_early_bye = self.early_bye_received
+
+    def invite_received(self, server: ServerTransaction) -> None:
         request = server.request
-        if self.leaving or len(self.owed) >= MOST_OWED:
-            self.agent.refuse(server, 503, (("Retry-After", "5"),))
+        if self.shutting_down or len(self.unanswered) >= MAX_UNANSWERED:
+            self.agent.respond(server, 503, (("Retry-After", "5"),))
             return
-        same = request.call_id, sip.tag_of(request.from_address), request.cseq.sequence
-        earlier = self.tries.get(same)
+        merge_key = request.call_id, sip.tag_of(request.from_address), request.cseq.sequence
+        earlier = self.invites.get(merge_key)
         if earlier is not None and earlier.state != "terminated":
-            self.agent.refuse(server, 482)
+            self.agent.respond(server, 482)
             return
-        kind = request.headers.get("Content-Type", "").lower().partition(";")[0].strip()
-        if request.body and kind != "application/sdp":
-            self.agent.refuse(server, 415, (("Accept", "application/sdp"),))
+        content_type = request.headers.get("Content-Type", "").lower().partition(";")[0].strip()
+        if request.body and content_type != "application/sdp":
+            self.agent.respond(server, 415, (("Accept", "application/sdp"),))
             return
         if request.headers.get("Content-Encoding", "identity").lower() != "identity":
-            self.agent.refuse(server, 415, (("Accept-Encoding", "identity"),))
+            self.agent.respond(server, 415, (("Accept-Encoding", "identity"),))
             return
         if not request.contact or not sip.tag_of(request.from_address):
-            self.agent.refuse(server, 400)
+            self.agent.respond(server, 400)
             return
         number = request.uri.user or ""
         route = self.config.route(number)
         if route is None:
-            self.agent.refuse(server, 404)
+            self.agent.respond(server, 404)
             return
-        if len(self.tries) > 4096:
-            self.tries = {key: item for key, item in self.tries.items() if item.state != "terminated"}
-        self.tries[same] = server
-        self.agent.refuse(server, 100)
-        self.calls += 1
-        call = self.calls
-        hops = 70 if request.max_forwards is None else request.max_forwards
-        sender = str(sip.Address(request.from_address.uri, request.from_address.name))
-        asked = Asked(number, request.body, sender, hops - 1, route.destination)
-        item = self.config.settings.classes[route.class_index]
-        left_us = round(item.deadline_s * 1e6)
+        if len(self.invites) > 4096:  # forget terminated transactions
+            self.invites = {key: item for key, item in self.invites.items() if item.state != "terminated"}
+        self.invites[merge_key] = server
+        self.agent.respond(server, 100)
+        self.last_call += 1
+        call = self.last_call
+        max_forwards = 70 if request.max_forwards is None else request.max_forwards
+        caller_address = str(sip.Address(request.from_address.uri, request.from_address.name))
+        call_request = CallRequest(number, request.body, caller_address, max_forwards - 1, route.destination)
+        call_class = self.config.settings.classes[route.class_index]
+        time_left_us = round(call_class.deadline_s * 1e6)
         if request.expires is not None and request.expires > 0:
-            left_us = min(left_us, request.expires * 1_000_000)
-        self.owed[call] = SipCall(self, call, server, asked)
-        self.by_server[server] = call
+            time_left_us = min(time_left_us, request.expires * 1_000_000)
+        self.unanswered[call] = SipCall(self, call, server, call_request)
+        self.by_transaction[server] = call
         digits = "".join(char for char in number if char.isdigit())[-18:]
-        via = request.headers.get(TRANSIT, "")
-        transit = server.source.host in self.config.peers and via.isdigit()
+        transit_value = request.headers.get(TRANSIT_HEADER, "")
+        in_transit = server.source.host in self.config.peers and transit_value.isdigit()
         self.driver.tell(
             messages.Arrival(
                 call,
                 route.class_index,
-                item.width_circuits,
-                left_us,
+                call_class.width_circuits,
+                time_left_us,
                 route.tenant,
                 int(digits or 0),
                 route.destination,
-                transit,
-                advice=int(via[:9]) if transit else -1,
+                in_transit,
+                advice=int(transit_value[:9]) if in_transit else -1,
             )
         )
 
-    def cancelled(self, server: ServerTransaction) -> None:
-        call = self.by_server.get(server)
+    def cancel_received(self, server: ServerTransaction) -> None:
+        call = self.by_transaction.get(server)
         if call is not None:
             self.withdraw(call)
 
     def withdraw(self, call: int) -> None:
-        found = self.settle(call)
-        if found is not None:
-            found.server.respond(sip.response_to(found.server.request, 487, found.tag))
+        """Ends a call that its caller gave up before a final response."""
+        sip_call = self.pop_unanswered(call)
+        if sip_call is not None:
+            sip_call.server.respond(sip.response_to(sip_call.server.request, 487, sip_call.tag))
             self.driver.tell(messages.Withdrawn(call))
 
-    def early_bye(self, request: sip.Request) -> bool:
-        """A caller may also give up by a BYE in the dialog of our provisional response."""
-        for call, found in list(self.owed.items()):
-            invite = found.server.request
+    def early_bye_received(self, request: sip.Request) -> bool:
+        """A caller may also give up with a BYE in the early dialog; True if a call was ended."""
+        for call, sip_call in list(self.unanswered.items()):
+            invite = sip_call.server.request
             if (
                 invite.call_id == request.call_id
-                and found.tag == sip.tag_of(request.to_address)
+                and sip_call.tag == sip.tag_of(request.to_address)
                 and sip.tag_of(invite.from_address) == sip.tag_of(request.from_address)
             ):
                 self.withdraw(call)
                 return True
         return False
 
-    def settle(self, call: int) -> SipCall | None:
-        found = self.owed.pop(call, None)
-        if found is not None:
-            self.by_server.pop(found.server, None)
-        return found
+    def pop_unanswered(self, call: int) -> SipCall | None:
+        """Removes and returns a call that is about to get its final response; None if it has had one."""
+        sip_call = self.unanswered.pop(call, None)
+        if sip_call is not None:
+            self.by_transaction.pop(sip_call.server, None)
+        return sip_call
 
-    def progress(self, call: int) -> None:
-        if call in self.owed:
-            self.owed[call].progress()
+    def call_progress(self, call: int) -> None:
+        if call in self.unanswered:
+            self.unanswered[call].send_ringing()
 
-    def gone(self, found: SipCall) -> None:
-        if self.standing.pop(found.call, None) is not None:
-            self.driver.tell(messages.Withdrawn(found.call))
+    def call_ended(self, sip_call: SipCall) -> None:
+        """Reports the end of an established call to the core."""
+        if self.established.pop(sip_call.call, None) is not None:
+            self.driver.tell(messages.Withdrawn(sip_call.call))
 
-    # ---- effects
+    # ---- effects of the core
 
     def answer(self, effect: messages.Answer) -> None:
-        found = self.settle(effect.call)
-        if found is not None:
-            self.standing[effect.call] = found
-            found.stand(effect.description)
+        sip_call = self.pop_unanswered(effect.call)
+        if sip_call is not None:
+            self.established[effect.call] = sip_call
+            sip_call.answer(effect.description)
 
     def refuse(self, effect: messages.Refuse) -> None:
-        extra = ()
-        if effect.retry_after_us > 0 and CODES[effect.cause] in (503, 486, 500, 404):
-            extra = (("Retry-After", str(math.ceil(effect.retry_after_us / 1e6))),)
-        self.final(effect.call, CODES[effect.cause], extra)
+        extra_headers = ()
+        if effect.retry_after_us > 0 and STATUS_CODES[effect.cause] in (503, 486, 500, 404):
+            extra_headers = (("Retry-After", str(math.ceil(effect.retry_after_us / 1e6))),)
+        self.send_final(effect.call, STATUS_CODES[effect.cause], extra_headers)
 
     def fail(self, effect: messages.Fail) -> None:
-        code = CODES[effect.cause]
-        self.final(effect.call, 500 if code == 503 else code, ())
-
-    def final(self, call: int, code: int, extra: tuple[tuple[str, str], ...]) -> None:
-        found = self.settle(call)
-        if found is not None:
-            found.server.respond(sip.response_to(found.server.request, code, found.tag, extra=extra))
+        code = STATUS_CODES[effect.cause]
+        self.send_final(effect.call, 500 if code == 503 else code, ())
+
+    def send_final(self, call: int, code: int, extra_headers: tuple[tuple[str, str], ...]) -> None:
+        sip_call = self.pop_unanswered(call)
+        if sip_call is not None:
+            sip_call.server.respond(
+                sip.response_to(sip_call.server.request, code, sip_call.tag, extra_headers=extra_headers)
+            )
 
     def over(self, effect: messages.CallEnded) -> None:
-        found = self.standing.pop(effect.call, None)
-        if found is not None:
-            found.end()
+        sip_call = self.established.pop(effect.call, None)
+        if sip_call is not None:
+            sip_call.end()
--- a/chutefork/sip/legs.py
+++ b/chutefork/sip/legs.py
@@ -1,4 +1,4 @@
-"""The downstream side: the core's set-ups become INVITEs to the hubs, each attempt a dialog of its own."""
+"""The downstream side: the core's set-ups become INVITEs to the hubs, each attempt with its own dialogs."""
 
 from __future__ import annotations
 
@@ -10,38 +10,38 @@
 from ..interface import Outcome, Reason
 from . import message as sip
 from .agent import SipAgent
-from .dialog import Dialog, by_size
-from .front import TRANSIT, SipFront
-from .transactions import InviteClient
+from .dialog import Dialog, tcp_if_too_large
+from .front import TRANSIT_HEADER, SipFront
+from .transactions import InviteClientTransaction
 from .transport import Target
 
 if TYPE_CHECKING:
     from ..net.driver import Driver
     from .settings import SipConfig
 
-CAUSE = re.compile(r"Q\.850\s*;.*?cause\s*=\s*(\d+)", re.I)
-NO_CIRCUIT = 34  # of Q.850, in a Reason header (RFC 3326)
+Q850_CAUSE = re.compile(r"Q\.850\s*;.*?cause\s*=\s*(\d+)", re.I)  # in a Reason header (RFC 3326)
+Q850_NO_CIRCUIT = 34
 
 
 def outcome_of(
-    code: int, cause: int, retry_after_us: int | None, tandem: bool
+    code: int, q850_cause: int, retry_after_us: int | None, via_tandem: bool
 ) -> tuple[Outcome, Reason, int | None]:
-    """A hub's refusal in the core's words."""
+    """The core's outcome, reason and retry delay for a hub's status code; `q850_cause` is 0 for none."""
     if code in (486, 600):
         return Outcome.ERROR, Reason.LINES_BUSY, None
-    if code == 503 and cause == NO_CIRCUIT:
-        return Outcome.REJECTED, Reason.REJECTED_BY_TANDEM if tandem else Reason.NO_CIRCUIT, None
+    if code == 503 and q850_cause == Q850_NO_CIRCUIT:
+        return Outcome.REJECTED, Reason.REJECTED_BY_TANDEM if via_tandem else Reason.NO_CIRCUIT, None
     if code == 503:
         return Outcome.REJECTED, Reason.PROCESSOR_FULL, retry_after_us
     if code in (408, 504):
         return Outcome.TIMEOUT, Reason.NONE, None
     if 500 <= code < 600:
         return Outcome.ERROR, Reason.NONE, None
-    return Outcome.ERROR, Reason.DECLINED, None  # another try would meet the same answer
+    return Outcome.ERROR, Reason.DECLINED, None  # another attempt would get the same response
 
 
 class Leg:
-    """One attempt. `current` while the core waits for its end or holds its call as standing."""
+    """One attempt. `active` while the core waits for its outcome or has its call established."""
 
     def __init__(self, legs: SipLegs, effect: messages.SetUp, hub: messages.Hub) -> None:
         self.legs = legs
@@ -49,195 +49,206 @@
         self.call = effect.call
         self.hub = hub.name
         self.number = hub.number
-        self.current = True
-        self.heard_any = False
-        self.cancel_wanted = False
+        self.active = True
+        self.any_response = False
+        self.cancel_pending = False
         self.cancel_sent = False
-        self.dialogs: dict[str, Dialog] = {}  # by the hub's tag: a forked INVITE may be answered twice
-        self.acks: dict[str, tuple[bytes, Target]] = {}
-        self.silence = None
-        asked = legs.front.owed[effect.call].asked
-        self.tandem = hub.number != asked.destination
-        self.late_offer = not asked.body
+        self.dialogs: dict[str, Dialog] = {}  # by remote tag: a forked INVITE can get several 2xx
+        self.acks: dict[str, tuple[bytes, Target]] = {}  # by remote tag
+        self.trying_timer = None
+        call_request = legs.front.unanswered[effect.call].call_request
+        self.via_tandem = hub.number != call_request.destination
+        self.delayed_offer = not call_request.body
         address, _, transport = hub.address.partition(";")
         host, _, port = address.rpartition(":")
         target = Target((transport or "udp").upper(), host, int(port))
-        own = self.agent.address
-        tail = ";transport=tcp" if target.transport == "TCP" else ""
-        user = sip.URI("sip", host, asked.number, None, int(port))
+        own_address = self.agent.address
+        uri_parameters = ";transport=tcp" if target.transport == "TCP" else ""
+        uri = sip.URI("sip", host, call_request.number, None, int(port))
         request = sip.new_request(
             "INVITE",
-            f"{user}{tail}",
-            sip.via_of(target.transport, *own),
-            f"{asked.sender};tag={sip.tag()}",
-            f"<{user}>",
-            f"{sip.tag()}@{own[0]}",
+            f"{uri}{uri_parameters}",
+            sip.new_via(target.transport, *own_address),
+            f"{call_request.caller_address};tag={sip.new_tag()}",
+            f"<{uri}>",
+            f"{sip.new_tag()}@{own_address[0]}",
             1,
-            asked.hops,
+            call_request.max_forwards,
         )
         request.headers.set("Contact", self.agent.contact(target.transport))
         request.headers.set("Allow", sip.ALLOW)
         request.headers.set("Expires", str(max(math.ceil(effect.timeout_us / 1e6), 1)))
-        if self.tandem:
-            request.headers.set(TRANSIT, str(legs.config.settings.own_number))
-        sip.with_body(request, asked.body)
-        self.target = by_size(request, target)
-        self.invite: InviteClient | None = None
+        if self.via_tandem:
+            request.headers.set(TRANSIT_HEADER, str(legs.config.settings.own_number))
+        sip.set_body(request, call_request.body)
+        self.target = tcp_if_too_large(request, target)
+        self.invite: InviteClientTransaction | None = None
         self.request = request
 
-    def begin(self) -> None:
-        self.silence = self.agent.clock.callLater(self.legs.config.trying_s, self.silent)
-        self.invite = self.agent.send(self.request, self.target, self.heard, self.failed)
+    def start(self) -> None:
+        self.trying_timer = self.agent.clock.callLater(self.legs.config.trying_s, self.trying_timeout)
+        self.invite = self.agent.send_request(self.request, self.target, self.handle_response, self.failed)
 
-    def hush(self) -> None:
-        if self.silence is not None and self.silence.active():
-            self.silence.cancel()
-        self.silence = None
+    def stop_trying_timer(self) -> None:
+        if self.trying_timer is not None and self.trying_timer.active():
+            self.trying_timer.cancel()
+        self.trying_timer = None
 
-    def silent(self) -> None:
-        """Not even a 100: the hub is not there or takes nothing, and the call can still be sent elsewhere."""
-        self.silence = None
+    def trying_timeout(self) -> None:
+        """Not even a 100 came: the hub is down or blocked, and there is still time for another one."""
+        self.trying_timer = None
         self.finish(Outcome.TIMEOUT)
-        self.give_up()
-
-    def finish(self, outcome: Outcome, reason: Reason = Reason.NONE, wait_us: int | None = None) -> None:
-        self.hush()
-        if self.current:
-            self.current = False
-            self.legs.forget(self)
-            self.legs.driver.tell(messages.AttemptEnded(self.call, self.hub, outcome, reason, wait_us))
-
-    def failed(self, why: str) -> None:
-        self.finish(Outcome.TIMEOUT if why == "timeout" else Outcome.UNREACHABLE)
-
-    def heard(self, response: sip.Response) -> None:
-        self.heard_any = True
-        self.hush()
+        self.abandon()
+
+    def finish(
+        self, outcome: Outcome, reason: Reason = Reason.NONE, retry_after_us: int | None = None
+    ) -> None:
+        """Reports the end of the attempt, or of its call, to the core; only once."""
+        self.stop_trying_timer()
+        if self.active:
+            self.active = False
+            self.legs.remove(self)
+            self.legs.driver.tell(messages.AttemptEnded(self.call, self.hub, outcome, reason, retry_after_us))
+
+    def failed(self, reason: str) -> None:
+        self.finish(Outcome.TIMEOUT if reason == "timeout" else Outcome.UNREACHABLE)
+
+    def handle_response(self, response: sip.Response) -> None:
+        self.any_response = True
+        self.stop_trying_timer()
         if response.code < 200:
-            if self.cancel_wanted:
-                self.cancel()
+            if self.cancel_pending:
+                self.send_cancel()
             elif response.code > 100:
-                self.legs.front.progress(self.call)
+                self.legs.front.call_progress(self.call)
         elif response.code < 300:
             self.answered(response)
         else:
-            after = re.match(r"\d{1,6}", response.headers.get("Retry-After", ""))
-            cause = CAUSE.search(response.headers.get("Reason", ""))
+            retry_after = re.match(r"\d{1,6}", response.headers.get("Retry-After", ""))
+            q850_cause = Q850_CAUSE.search(response.headers.get("Reason", ""))
             self.finish(
                 *outcome_of(
                     response.code,
-                    int(cause[1]) if cause else 0,
-                    int(after[0]) * 1_000_000 if after else None,
-                    self.tandem,
+                    int(q850_cause[1]) if q850_cause else 0,
+                    int(retry_after[0]) * 1_000_000 if retry_after else None,
+                    self.via_tandem,
                 )
             )
 
     def answered(self, response: sip.Response) -> None:
+        """Handles a 2xx or its retransmission."""
         tag = sip.tag_of(response.to_address)
         if tag in self.acks:
-            self.agent.transport.send(*self.acks[tag])  # the 200 again: our ACK was lost
+            self.agent.transport.send(*self.acks[tag])  # a retransmitted 200: the ACK was lost
             return
         if tag in self.dialogs:
-            return  # the 200 again, while the caller's ACK with the answer to its offer is awaited
+            return  # a retransmitted 200; the ACK waits for the caller's ACK with the SDP answer
         first = not self.dialogs
-        dialog = self.dialogs[tag] = Dialog.of_client(self.request, response, self.target)
-        self.agent.join(dialog, self)
-        if first and self.current:
-            if not self.late_offer:
-                self.ack(dialog)
+        dialog = self.dialogs[tag] = Dialog.of_uac(self.request, response, self.target)
+        self.agent.add_dialog(dialog, self)
+        if first and self.active:
+            if not self.delayed_offer:
+                self.send_ack(dialog)
             body = response.body.decode("utf-8", "surrogateescape")
             self.legs.driver.tell(messages.CallEstablished(self.call, self.hub, body))
-        else:  # crossed our giving up, or another branch of a fork: it must not stand
-            self.ack(dialog)
-            self.agent.bye(dialog)
-
-    def ack(self, dialog: Dialog, body: bytes = b"") -> None:
-        request, target = dialog.request("ACK", self.agent.address, self.request.cseq.sequence)
-        sip.with_body(request, body)
-        target = by_size(request, target)
+        else:  # the attempt was abandoned, or this is another branch of a fork: end the dialog
+            self.send_ack(dialog)
+            self.agent.send_bye(dialog)
+
+    def send_ack(self, dialog: Dialog, body: bytes = b"") -> None:
+        request, target = dialog.create_request("ACK", self.agent.address, self.request.cseq.sequence)
+        sip.set_body(request, body)
+        target = tcp_if_too_large(request, target)
         self.acks[dialog.id.remote_tag] = bytes(request), target
         self.agent.transport.send(bytes(request), target)
 
-    def give_up(self) -> None:
-        """The core wants this attempt, or the call that stands by it, no more."""
-        self.hush()
-        self.current = False
-        self.legs.forget(self)
+    def abandon(self) -> None:
+        """Ends the attempt, or its call, towards the hub, without a report to the core."""
+        self.stop_trying_timer()
+        self.active = False
+        self.legs.remove(self)
         for tag, dialog in self.dialogs.items():
             if tag not in self.acks:
-                self.ack(dialog)
+                self.send_ack(dialog)
             if dialog.id in self.agent.dialogs:
-                self.agent.bye(dialog)
+                self.agent.send_bye(dialog)
         if self.invite is None or self.dialogs or self.invite.state not in ("calling", "proceeding"):
             return
-        if self.agent.transport.take_back(self.invite.data, self.target):
-            self.invite.end()
+        if self.agent.transport.remove_queued(self.invite.data, self.target):
+            self.invite.terminate()
             return
-        self.cancel_wanted = True
-        if self.heard_any:
-            self.cancel()
+        self.cancel_pending = True
+        if self.any_response:
+            self.send_cancel()
 
-    def cancel(self) -> None:
-        """Only once a provisional response has come (RFC 3261 9.1)."""
+    def send_cancel(self) -> None:
+        """Must not be called before a provisional response has come (RFC 3261 9.1)."""
         if not self.cancel_sent:
             self.cancel_sent = True
-            self.agent.send(self.agent.layer.beside(self.request, "CANCEL"), self.target)
-            self.invite.wait_cancelled()
+            self.agent.send_request(self.agent.layer.derived_request(self.request, "CANCEL"), self.target)
+            self.invite.start_cancel_timeout()
 
-    def hung_up(self) -> None:
-        if self.current and not any(dialog.id in self.agent.dialogs for dialog in self.dialogs.values()):
+    def bye_received(self) -> None:
+        if self.active and not any(dialog.id in self.agent.dialogs for dialog in self.dialogs.values()):
             self.finish(Outcome.OK)
 
-    def acked(self, request: sip.Request) -> None:
-        """No ACK comes this way: the hubs call nobody."""
+    def ack_received(self, request: sip.Request) -> None:
+        """Never called: hubs send no INVITE."""
 
 
 class SipLegs:
+    """All attempts, and the hubs that calls may be sent to."""
+
     def __init__(self, driver: Driver, agent: SipAgent, config: SipConfig) -> None:
         self.driver = driver
         self.agent = agent
         self.config = config
         self.front: SipFront
-        self.hubs: dict[str, tuple[messages.Hub, bool]] = {}
+        self.hubs: dict[str, tuple[messages.Hub, bool]] = {}  # by name; whether it accepts set-ups
         self.by_call: dict[int, Leg] = {}
 
-    def forget(self, leg: Leg) -> None:
+    def remove(self, leg: Leg) -> None:
         if self.by_call.get(leg.call) is leg:
             del self.by_call[leg.call]
 
     def set_up(self, effect: messages.SetUp) -> None:
-        hub, sends = self.hubs.get(effect.hub, (None, False))
-        if hub is None or not sends or effect.call not in self.front.owed:
+        hub, accepts_setups = self.hubs.get(effect.hub, (None, False))
+        if hub is None or not accepts_setups or effect.call not in self.front.unanswered:
             self.driver.later(messages.AttemptEnded(effect.call, effect.hub, Outcome.NOT_SENT))
             return
         leg = self.by_call[effect.call] = Leg(self, effect, hub)
-        leg.begin()
+        leg.start()
 
     def release(self, effect: messages.Release) -> None:
         leg = self.by_call.get(effect.call)
         if leg is not None and leg.hub == effect.hub:
-            leg.give_up()
+            leg.abandon()
 
-    def acked(self, call: int, body: bytes) -> None:
-        """The caller's ACK; where its INVITE had no offer, this one carries the answer to the hub's."""
+    def caller_ack_received(self, call: int, body: bytes) -> None:
+        """Passes on the SDP answer in a caller's ACK, if its INVITE had no offer."""
         leg = self.by_call.get(call)
-        if leg is not None and leg.late_offer:
+        if leg is not None and leg.delayed_offer:
             for tag, dialog in leg.dialogs.items():
                 if tag not in leg.acks:
-                    leg.ack(dialog, body)
+                    leg.send_ack(dialog, body)
 
     def reach(self, effect: messages.UpdateHubConnection) -> None:
+        """Updates a hub.
+
+        If it accepts no more set-ups, INVITEs without a response are withdrawn if still queued, else they are
+        no longer retransmitted. If it is removed, all its attempts and calls are ended.
+        """
         name = effect.hub.name
         self.hubs[name] = effect.hub, effect.accepts_setups
         legs = [leg for leg in self.by_call.values() if leg.hub == name]
         for leg in legs if not effect.accepts_setups else ():
-            if leg.invite is not None and not leg.heard_any:
-                if self.agent.transport.take_back(leg.invite.data, leg.target):
-                    leg.invite.end()
+            if leg.invite is not None and not leg.any_response:
+                if self.agent.transport.remove_queued(leg.invite.data, leg.target):
+                    leg.invite.terminate()
                     leg.finish(Outcome.NOT_SENT)
                 else:
-                    leg.invite.quieten()
+                    leg.invite.stop_retransmissions()
         if not effect.keep_connection:
             del self.hubs[name]
-            for leg in legs:  # a late answer from there finds nobody waiting
-                leg.give_up()
+            for leg in legs:  # a late response from there must find no active attempt
+                leg.abandon()
--- a/chutefork/sip/message.py
+++ b/chutefork/sip/message.py
@@ -1,4 +1,7 @@
-"""SIP messages: what the parser library leaves to its users, and the building of requests and responses."""
+"""SIP messages: validation beyond what the sipmessage library does, and building of requests and responses.
+
+The library's classes that the other modules need are re-exported here.
+"""
 
 from __future__ import annotations
 
@@ -7,10 +10,10 @@
 
 from sipmessage import URI, Address, CSeq, Message, Parameters, Request, Response, Via
 
-COOKIE = "z9hG4bK"
+BRANCH_COOKIE = "z9hG4bK"  # starts every branch made under RFC 3261 (8.1.1.7)
 ALLOW = "INVITE, ACK, CANCEL, BYE, OPTIONS"
 METHODS = frozenset(ALLOW.split(", "))
-PHRASES = {
+REASON_PHRASES = {
     100: "Trying",
     180: "Ringing",
     200: "OK",
@@ -32,11 +35,11 @@
     504: "Server Time-out",
     505: "Version Not Supported",
 }
-SINGLE = ("From", "To", "Call-ID", "CSeq")  # needed, and once only
+MANDATORY_HEADERS = ("From", "To", "Call-ID", "CSeq")  # each must occur exactly once
 
 
 class BadMessage(ValueError):
-    """The message cannot be used; `code` is what a request is answered with."""
+    """A message that cannot be processed; `code` is the status code of the response to such a request."""
 
     def __init__(self, text: str, code: int = 400) -> None:
         super().__init__(text)
@@ -44,25 +47,29 @@
 
 
 def parse(data: bytes) -> Request | Response:
-    """A message whose headers a transaction needs are all there and can be read."""
-    head, blank, body = data.partition(b"\r\n\r\n")
-    if not blank:
-        raise BadMessage("no end of the headers")
-    head = re.sub(rb"\r\n[ \t]+", b" ", head)  # a folded header is one line
-    first = head.split(b"\r\n", 1)[0]
-    if re.search(rb" SIP/\d+\.\d+$", first) and not first.endswith(b" SIP/2.0"):
-        raise BadMessage("another version of SIP", 505)
-    scheme = re.match(rb"[A-Z]+ ([a-zA-Z][a-zA-Z0-9+.-]*):", first)
-    if scheme and scheme[1].lower() not in (b"sip", b"tel"):  # no TLS, so no sips
-        raise BadMessage("a URI of another scheme", 416)
+    """Parses one message and validates every header that transactions and dialogs rely on.
+
+    The library parses a header field at its first access. They are accessed here, so that later code need not
+    handle malformed ones. Raises BadMessage.
+    """
+    head, separator, body = data.partition(b"\r\n\r\n")
+    if not separator:
+        raise BadMessage("no empty line after the headers")
+    head = re.sub(rb"\r\n[ \t]+", b" ", head)  # unfold header lines
+    start_line = head.split(b"\r\n", 1)[0]
+    if re.search(rb" SIP/\d+\.\d+$", start_line) and not start_line.endswith(b" SIP/2.0"):
+        raise BadMessage("unsupported SIP version", 505)
+    scheme = re.match(rb"[A-Z]+ ([a-zA-Z][a-zA-Z0-9+.-]*):", start_line)
+    if scheme and scheme[1].lower() not in (b"sip", b"tel"):  # sips needs TLS, which is not supported
+        raise BadMessage("unsupported URI scheme", 416)
     try:
         message = Message.parse(head + b"\r\n\r\n" + body)
-        for name in SINGLE:
+        for name in MANDATORY_HEADERS:
             if len(message.headers.getlist(name)) != 1:
-                raise BadMessage(f"{name} is needed once")
+                raise BadMessage(f"{name} must occur exactly once")
         if not message.via:
-            raise BadMessage("Via is needed")
-        message.from_address, message.to_address  # noqa: B018 (read to see that they can be read)
+            raise BadMessage("Via is missing")
+        message.from_address, message.to_address  # noqa: B018 (accessed to validate)
         cseq = message.cseq
         length = message.content_length
         if isinstance(message, Request):
@@ -71,35 +78,39 @@
             message.contact, message.record_route  # noqa: B018
     except BadMessage:
         raise
-    except (ValueError, KeyError, IndexError, TypeError, AttributeError, RecursionError) as fault:
-        raise BadMessage(f"{type(fault).__name__}: {fault}") from None
+    except (ValueError, KeyError, IndexError, TypeError, AttributeError, RecursionError) as exc:
+        raise BadMessage(f"{type(exc).__name__}: {exc}") from None
     if cseq.sequence >= 2**31:
-        raise BadMessage("CSeq is too large")
+        raise BadMessage("CSeq number must be less than 2**31")
     if isinstance(message, Request) and cseq.method != message.method:
-        raise BadMessage("CSeq names another method")
+        raise BadMessage("CSeq method differs from the request method")
     if length is not None:
         if not 0 <= length <= len(message.body):
-            raise BadMessage("Content-Length does not fit the body")
+            raise BadMessage("Content-Length exceeds the body received")
         message.body = message.body[:length]
     return message
 
 
-def answer_to_unreadable(data: bytes, code: int) -> Response | None:
-    """For a request that cannot be read, if what a response copies is there; never for an ACK."""
+def response_to_malformed(data: bytes, code: int) -> Response | None:
+    """The response to a request that `parse` rejected, with the status `code`.
+
+    None for responses and ACKs, which are never answered, and where a header that a response copies (Via,
+    From, To, Call-ID, CSeq) is missing.
+    """
     head = re.sub(rb"\r\n[ \t]+", b" ", data.partition(b"\r\n\r\n")[0])
     lines = head.decode("utf-8", "replace").split("\r\n")
     if lines[0].startswith(("SIP/", "ACK ")):
         return None
-    response = Response(code, PHRASES[code])
-    short = {"v": "Via", "f": "From", "t": "To", "i": "Call-ID"}
+    response = Response(code, REASON_PHRASES[code])
+    compact_forms = {"v": "Via", "f": "From", "t": "To", "i": "Call-ID"}
     for line in lines[1:]:
         name, _, value = line.partition(":")
-        name = short.get(name.strip().lower(), name.strip())
-        for wanted in ("Via", *SINGLE):
-            if name.lower() == wanted.lower():
-                response.headers.add(wanted, value.strip())
+        name = compact_forms.get(name.strip().lower(), name.strip())
+        for copied in ("Via", *MANDATORY_HEADERS):
+            if name.lower() == copied.lower():
+                response.headers.add(copied, value.strip())
     try:
-        if not response.via or any(response.headers.get(name) is None for name in SINGLE):
+        if not response.via or any(response.headers.get(name) is None for name in MANDATORY_HEADERS):
             return None
     except ValueError:
         return None
@@ -108,92 +119,117 @@
 
 
 def response_to(
-    request: Request, code: int, tag: str = "", body: bytes = b"", extra: tuple[tuple[str, str], ...] = ()
+    request: Request,
+    code: int,
+    to_tag: str = "",
+    body: bytes = b"",
+    extra_headers: tuple[tuple[str, str], ...] = (),
 ) -> Response:
-    response = Response(code, PHRASES[code], body)
-    for name in ("Via", "Record-Route", *SINGLE):
+    """A response with the headers that RFC 3261 8.2.6.2 copies from the request.
+
+    `to_tag` is added to To unless the request has one; Record-Route is copied into responses that can create
+    a dialog.
+    """
+    response = Response(code, REASON_PHRASES[code], body)
+    for name in ("Via", "Record-Route", *MANDATORY_HEADERS):
         if name == "Record-Route" and (request.method != "INVITE" or not 101 <= code < 300):
             continue
         for value in request.headers.getlist(name):
             response.headers.add(name, value)
-    if tag and "tag" not in request.to_address.parameters:
-        response.headers.set("To", f"{request.headers['To']};tag={tag}")
-    for name, value in extra:
+    if to_tag and "tag" not in request.to_address.parameters:
+        response.headers.set("To", f"{request.headers['To']};tag={to_tag}")
+    for name, value in extra_headers:
         response.headers.add(name, value)
     response.content_length = len(body)
     return response
 
 
 def new_request(
-    method: str, uri: str, via: Via, sender: str, recipient: str, call_id: str, sequence: int, hops: int = 70
+    method: str,
+    uri: str,
+    via: Via,
+    from_header: str,
+    to_header: str,
+    call_id: str,
+    sequence: int,
+    max_forwards: int = 70,
 ) -> Request:
+    """A request with the mandatory headers and no body; `from_header` and `to_header` include their tags."""
     request = Request(method, URI.parse(uri))
     request.via = [via]
-    request.headers.set("Max-Forwards", str(hops))
-    request.headers.set("From", sender)
-    request.headers.set("To", recipient)
+    request.headers.set("Max-Forwards", str(max_forwards))
+    request.headers.set("From", from_header)
+    request.headers.set("To", to_header)
     request.headers.set("Call-ID", call_id)
     request.cseq = CSeq(sequence, method)
     request.content_length = 0
     return request
 
 
-def with_body(message: Request | Response, body: bytes, kind: str = "application/sdp") -> None:
+def set_body(message: Request | Response, body: bytes, content_type: str = "application/sdp") -> None:
+    """Sets the body and Content-Length, and Content-Type unless the body is empty."""
     message.body = body
     message.content_length = len(body)
     if body:
-        message.headers.set("Content-Type", kind)
+        message.headers.set("Content-Type", content_type)
 
 
-def branch() -> str:
-    return COOKIE + secrets.token_hex(8)
+def new_branch() -> str:
+    """A random branch with the cookie of RFC 3261."""
+    return BRANCH_COOKIE + secrets.token_hex(8)
 
 
-def tag() -> str:
+def new_tag() -> str:
+    """A random From or To tag; also used as the local part of Call-IDs."""
     return secrets.token_hex(6)
 
 
 def tag_of(address: Address) -> str:
+    """The tag parameter; empty if there is none."""
     return address.parameters.get("tag") or ""
 
 
-def mark_via(request: Request | Response, host: str, port: int) -> None:
-    """RFC 3261 18.2.1 and RFC 3581: where the request really came from, on its topmost Via. The text is
-    edited as it stands: written anew by the parser, a branch with rare characters would come back changed."""
-    top = request.via[0]
-    asked = "rport" in top.parameters
+def add_received_and_rport(request: Request | Response, host: str, port: int) -> None:
+    """Records the source address of a request in its topmost Via (RFC 3261 18.2.1 and RFC 3581).
+
+    The header text is edited in place: serialised again by the parser, a branch with unusual characters would
+    be changed, and the sender could not match the response.
+    """
+    top_via = request.via[0]
+    rport_requested = "rport" in top_via.parameters
     values = request.headers.getlist("Via")
     text, comma, rest = values[0].partition(",")
-    if asked:
+    if rport_requested:
         text = re.sub(r"(;\s*rport)(\s*=[^;]*)?(?=\s*(;|$))", rf"\g<1>={port}", text, count=1, flags=re.I)
-    if asked or top.host != host:
+    if rport_requested or top_via.host != host:
         text = re.sub(r";\s*received\s*=[^;]*", "", text, flags=re.I).rstrip() + f";received={host}"
     request.headers.setlist("Via", [text + comma + rest, *values[1:]])
 
 
-def via_of(transport: str, host: str, port: int) -> Via:
-    return Via(transport, host, port, Parameters(branch=branch(), rport=None))
+def new_via(transport: str, host: str, port: int) -> Via:
+    """A Via with a new branch, that requests `rport` (RFC 3581)."""
+    return Via(transport, host, port, Parameters(branch=new_branch(), rport=None))
 
 
 __all__ = [
     "ALLOW",
-    "COOKIE",
+    "BRANCH_COOKIE",
     "METHODS",
-    "PHRASES",
+    "REASON_PHRASES",
     "Address",
     "BadMessage",
     "CSeq",
     "Request",
     "Response",
     "URI",
-    "answer_to_unreadable",
-    "branch",
-    "mark_via",
+    "response_to_malformed",
+    "new_branch",
+    "add_received_and_rport",
     "new_request",
     "parse",
     "response_to",
-    "tag",
+    "new_tag",
     "tag_of",
-    "via_of",
-    "with_body",
+    "new_via",
+    "set_body",
 ]
--- a/chutefork/sip/node.py
+++ b/chutefork/sip/node.py
@@ -1,4 +1,4 @@
-"""The SIP front, its legs and Consul round a core of their own."""
+"""The SIP front, its legs and Consul membership, with a core of their own."""
 
 from __future__ import annotations
 
@@ -17,11 +17,14 @@
 from .transactions import Timing
 from .transport import SipTransport
 
-ACCEPT_S = 0.75  # after SIGTERM: what Consul's readers have not yet heard of
-PART_S = 1.0  # for the BYEs of calls that still stand at the end
+# After SIGTERM, calls are accepted until Consul's clients can have seen that the service is deregistered.
+ACCEPT_S = 0.75
+BYE_WAIT_S = 1.0  # to send the BYEs of calls that are established at the end
 
 
 class SipNode:
+    """All parts of the SIP side, their start and their shutdown."""
+
     def __init__(self, config: SipConfig, clock: TurnReactor) -> None:
         self.config = config
         self.clock = clock
@@ -51,25 +54,30 @@
         log(f"serving-sip name={self.config.name} listen={self.transport.host}:{self.transport.port}")
 
     def terminate(self, done: Callable[[], None]) -> None:
+        """Starts the shutdown and calls `done` at its end.
+
+        Calls are accepted for ACCEPT_S more. INVITEs without a final response then get time for one: up to
+        the longest deadline of all call classes, counted from the start of the shutdown.
+        """
         if self.registration is not None:
             self.registration.leave()
         longest_s = max(item.deadline_s for item in self.config.settings.classes)
-        self.clock.callLater(ACCEPT_S, self.leave, self.clock.now_us() + round(longest_s * 1e6), done)
+        self.clock.callLater(ACCEPT_S, self.shut_down, self.clock.now_us() + round(longest_s * 1e6), done)
 
-    def leave(self, until: int, done: Callable[[], None]) -> None:
-        self.front.leaving = True
-        if self.front.owed and self.clock.now_us() < until:
-            self.clock.callLater(0.02, self.leave, until, done)
+    def shut_down(self, until: int, done: Callable[[], None]) -> None:
+        self.front.shutting_down = True
+        if self.front.unanswered and self.clock.now_us() < until:
+            self.clock.callLater(0.02, self.shut_down, until, done)
             return
-        standing = list(self.front.standing)
-        log(f"left-sip unanswered={len(self.front.owed)} standing={len(standing)}")
+        established = list(self.front.established)
+        log(f"left-sip unanswered={len(self.front.unanswered)} standing={len(established)}")
         self.driver.tell(Shutdown())
-        for call in standing:  # nobody would know of their dialogs any more: ended on both sides
-            self.front.standing[call].hang_up()
+        for call in established:  # their state ends with the process: both sides get a BYE
+            self.front.established[call].hang_up()
         self.membership.stop()
         self.transport.stop_accepting()
-        if standing:
-            self.clock.callLater(PART_S, self.close, done)
+        if established:
+            self.clock.callLater(BYE_WAIT_S, self.close, done)
         else:
             self.close(done)
 
--- a/chutefork/sip/settings.py
+++ b/chutefork/sip/settings.py
@@ -1,4 +1,4 @@
-"""The operator's file of the SIP front (`deploy/sip.toml`); bad values are named by their key."""
+"""Loads the configuration of the SIP side (`deploy/sip.toml`); errors start with the key of the bad value."""
 
 from __future__ import annotations
 
@@ -13,6 +13,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
+    """Numbers that start with `prefix`; `class_index` and `tenant` are indices into the settings' tuples."""
+
     prefix: str
     destination: int
     class_index: int
@@ -21,9 +23,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ConsulConfig:
+    """Access to Consul; its fields are keys of the file."""
+
     address: str
-    service: str  # whose instances are the hubs
-    register: str  # the name this program registers itself under; empty: it does not
+    service: str  # the service whose instances are the hubs
+    register: str  # the service that this process registers itself as; empty: none
     ttl_s: float
     wait_s: float
     token: str
@@ -31,6 +35,8 @@
 
 @dataclass(frozen=True, slots=True)
 class SipConfig:
+    """The whole file, validated; most fields are its keys."""
+
     name: str
     listen: tuple[str, int]
     advertise: str
@@ -44,53 +50,57 @@
     sockets: int
 
     def route(self, number: str) -> Route | None:
-        """The longest prefix that fits."""
-        fitting = [item for item in self.routes if number.startswith(item.prefix)]
-        return max(fitting, key=lambda item: len(item.prefix), default=None)
+        """The route with the longest matching prefix; None if no route matches."""
+        matching = [item for item in self.routes if number.startswith(item.prefix)]
+        return max(matching, key=lambda item: len(item.prefix), default=None)
 
 
 def load(path: Path) -> SipConfig | None:
-    """None where the file is not there or says that the front is off."""
+    """Reads and validates the file; None if there is none or `enabled` is false. Raises ConfigError."""
     try:
         root = Node(tomllib.loads(path.read_text(encoding="utf-8")))
     except FileNotFoundError:
         return None
-    except (OSError, ValueError) as fault:
-        raise ConfigError(f"{path}: {fault}") from None
+    except (OSError, ValueError) as exc:
+        raise ConfigError(f"{path}: {exc}") from None
     if not root.flag("enabled"):
         return None
-    inner = root.node("settings")
-    settings, classes, tenants = settings_of(inner, randbits(64))
+    settings_node = root.node("settings")
+    settings, classes, tenants = settings_of(settings_node, randbits(64))
     routes = []
-    for item in root.nodes("routes"):
-        prefix, name, tenant = item.text("prefix"), item.text("class"), item.text("tenant", "")
-        if name not in classes:
-            raise ConfigError(f"{item.path}.class: {name!r} is none of settings.services")
+    for route_node in root.nodes("routes"):
+        prefix, class_name, tenant = (
+            route_node.text("prefix"),
+            route_node.text("class"),
+            route_node.text("tenant", ""),
+        )
+        if class_name not in classes:
+            raise ConfigError(f"{route_node.path}.class: {class_name!r} is not in settings.services")
         if tenant and tenant not in tenants:
-            raise ConfigError(f"{item.path}.tenant: {tenant!r} is none of settings.accounts")
+            raise ConfigError(f"{route_node.path}.tenant: {tenant!r} is not in settings.accounts")
         routes.append(
             Route(
                 prefix,
-                int(item.number("destination")),
-                classes.index(name),
+                int(route_node.number("destination")),
+                classes.index(class_name),
                 tenants.index(tenant) if tenant else 0,
             )
         )
     if not routes:
-        raise ConfigError("routes: at least one is needed")
+        raise ConfigError("routes: at least one is required")
     t1_ms, trying_ms = root.number("t1_ms", 500), root.number("trying_ms", 800)
     for key, value in (("t1_ms", t1_ms), ("trying_ms", trying_ms)):
         if not 0 < value <= 60_000:
-            raise ConfigError(f"{key}: must lie above 0 and at most 60000, is {value!r}")
+            raise ConfigError(f"{key}: must be above 0 and at most 60000, is {value!r}")
     sockets = root.number("sockets", 1024)
     if not 16 <= sockets <= 1_000_000:
-        raise ConfigError(f"sockets: must lie between 16 and 1000000, is {sockets!r}")
+        raise ConfigError(f"sockets: must be between 16 and 1000000, is {sockets!r}")
     advertise = root.text("advertise", "")
     if advertise:
         address_of(advertise, "advertise")
     peers = root.get("peers", list, [])
     if not all(isinstance(item, str) for item in peers):
-        raise ConfigError("peers: addresses as text are needed")
+        raise ConfigError("peers: every item must be a string")
     consul = root.node("consul")
     address = consul.text("address")
     address_of(address, "consul.address")
@@ -98,7 +108,7 @@
     wait_s = consul.number("wait_s", 30)
     for key, value in (("ttl_s", ttl_s), ("wait_s", wait_s)):
         if not 1 <= value <= 600:
-            raise ConfigError(f"consul.{key}: must lie between 1 and 600, is {value!r}")
+            raise ConfigError(f"consul.{key}: must be between 1 and 600, is {value!r}")
     return SipConfig(
         name=root.text("name"),
         listen=address_of(root.text("listen"), "listen"),
@@ -116,6 +126,6 @@
             consul.text("token", ""),
         ),
         settings=settings,
-        connect_timeout_s=inner.node("limits").number("connect_timeout_s"),
+        connect_timeout_s=settings_node.node("limits").number("connect_timeout_s"),
         sockets=int(sockets),
     )
--- a/chutefork/sip/transactions.py
+++ b/chutefork/sip/transactions.py
@@ -1,4 +1,7 @@
-"""The four transaction machines of RFC 3261 section 17, with the accepted states of RFC 6026."""
+"""The four transaction state machines of RFC 3261 section 17, with the accepted state of RFC 6026.
+
+Timers are named by the RFCs' letters, A to M.
+"""
 
 from __future__ import annotations
 
@@ -14,17 +17,20 @@
     from ..net.clock import TurnReactor
 
 
-fault = Logger()
+logger = Logger()
 
 
 class Timing:
+    """The timer values T1, T2 and T4 of RFC 3261, and the transaction timeout that follows from T1."""
+
     def __init__(self, t1_s: float = 0.5, t2_s: float = 4.0, t4_s: float = 5.0) -> None:
         self.t1_s, self.t2_s, self.t4_s = t1_s, t2_s, t4_s
-        self.limit_s = 64 * t1_s  # timers B, F, H, J, L and M; D as well, which is to be at least 32 s
+        # Timers B, F, H, J, L and M; also D, which must be at least 32 s.
+        self.timeout_s = 64 * t1_s
 
 
-class Machine:
-    """What all four share: a state, the timers by their letter, and its place in the layer's table."""
+class Transaction:
+    """The common part of the four state machines: state, timers by letter, and the key in the layer."""
 
     def __init__(self, layer: TransactionLayer, key: tuple, reliable: bool) -> None:
         self.layer = layer
@@ -33,90 +39,112 @@
         self.timing = layer.timing
         self.timers: dict[str, object] = {}
 
-    def start(self, letter: str, delay_s: float, action: Callable[[], None]) -> None:
-        self.stop(letter)
-        self.timers[letter] = self.layer.clock.callLater(delay_s, self._fire, letter, action)
+    def start_timer(self, letter: str, delay_s: float, action: Callable[[], None]) -> None:
+        """Starts a timer, or restarts it if it runs."""
+        self.stop_timers(letter)
+        self.timers[letter] = self.layer.clock.callLater(delay_s, self._timer_fired, letter, action)
 
-    def _fire(self, letter: str, action: Callable[[], None]) -> None:
+    def _timer_fired(self, letter: str, action: Callable[[], None]) -> None:
         del self.timers[letter]
         action()
 
-    def stop(self, *letters: str) -> None:
+    def stop_timers(self, *letters: str) -> None:
         for letter in letters:
             timer = self.timers.pop(letter, None)
             if timer is not None:
                 timer.cancel()
 
-    def end(self) -> None:
+    def terminate(self) -> None:
+        """Enters the terminated state and removes the transaction from the layer."""
         self.state = "terminated"
-        self.stop(*list(self.timers))
-        self.layer.forget(self)
+        self.stop_timers(*list(self.timers))
+        self.layer.remove(self)
+
 
+class ServerTransaction(Transaction):
+    """A received request, its last response, and where responses go."""
 
-class ServerTransaction(Machine):
     def __init__(self, layer: TransactionLayer, key: tuple, request: sip.Request, source: Target) -> None:
         super().__init__(layer, key, source.transport == "TCP")
         self.request = request
         self.source = source
         self.target = layer.transport.response_target(request, source)
-        self.last: bytes | None = None
-        self.final = 0
+        self.last_response: bytes | None = None
+        self.final_code = 0  # status code of the final response; 0: none yet
         self.state = "proceeding" if request.method == "INVITE" else "trying"
 
-    def send(self) -> None:
-        if self.last is not None:
-            self.layer.transport.send(self.last, self.target)
+    def send_last_response(self) -> None:
+        if self.last_response is not None:
+            self.layer.transport.send(self.last_response, self.target)
 
-    def repeated(self) -> None:
-        """The request came again: it is answered as before and goes no further."""
+    def request_retransmitted(self) -> None:
+        """Repeats the last response; the retransmitted request is not passed to the transaction user."""
         if self.state in ("proceeding", "completed"):
-            self.send()
+            self.send_last_response()
 
 
-class InviteServer(ServerTransaction):
+class InviteServerTransaction(ServerTransaction):
+    """RFC 3261 17.2.1: timers G, H and I; L and the accepted state of RFC 6026."""
+
     def respond(self, response: sip.Response) -> None:
+        """Sends a response, unless a final one has been sent."""
         if self.state != "proceeding":
-            return  # guards the one final answer
-        self.last = bytes(response)
-        self.send()
+            return  # guards against a second final response
+        self.last_response = bytes(response)
+        self.send_last_response()
         if response.code < 200:
             return
-        self.final = response.code
+        self.final_code = response.code
         if response.code < 300:
             self.state = "accepted"
-            self.start("L", self.timing.limit_s, self.end)
+            self.start_timer("L", self.timing.timeout_s, self.terminate)
             return
         self.state = "completed"
         if not self.reliable:
-            self.again(self.timing.t1_s)
-        self.start("H", self.timing.limit_s, self.end)
-
-    def again(self, gap_s: float) -> None:
-        self.start("G", gap_s, lambda: (self.send(), self.again(min(2 * gap_s, self.timing.t2_s))))
+            self.schedule_retransmission(self.timing.t1_s)
+        self.start_timer("H", self.timing.timeout_s, self.terminate)
+
+    def schedule_retransmission(self, interval_s: float) -> None:
+        self.start_timer(
+            "G",
+            interval_s,
+            lambda: (
+                self.send_last_response(),
+                self.schedule_retransmission(min(2 * interval_s, self.timing.t2_s)),
+            ),
+        )
 
-    def acked(self) -> None:
+    def ack_received(self) -> None:
+        """An ACK for a 3xx to 6xx response; the ACK for a 2xx is a request of its own."""
         if self.state == "completed":
             self.state = "confirmed"
-            self.stop("G", "H")
-            self.start("I", 0 if self.reliable else self.timing.t4_s, self.end)
+            self.stop_timers("G", "H")
+            self.start_timer("I", 0 if self.reliable else self.timing.t4_s, self.terminate)
+
 
+class NonInviteServerTransaction(ServerTransaction):
+    """RFC 3261 17.2.2: timer J."""
 
-class OtherServer(ServerTransaction):
     def respond(self, response: sip.Response) -> None:
+        """Sends a response, unless a final one has been sent."""
         if self.state == "completed":
             return
-        self.last = bytes(response)
-        self.send()
+        self.last_response = bytes(response)
+        self.send_last_response()
         if response.code < 200:
             self.state = "proceeding"
             return
-        self.final = response.code
+        self.final_code = response.code
         self.state = "completed"
-        self.start("J", 0 if self.reliable else self.timing.limit_s, self.end)
+        self.start_timer("J", 0 if self.reliable else self.timing.timeout_s, self.terminate)
+
 
+class ClientTransaction(Transaction):
+    """A sent request.
 
-class ClientTransaction(Machine):
-    """`heard` is told of each response that goes up, `failed` that none will come: timeout, transport."""
+    `on_response` is called with each response for the transaction user, `on_failure` if no final response can
+    come any more, with the reason `timeout` or `transport`.
+    """
 
     def __init__(
         self,
@@ -124,105 +152,123 @@
         key: tuple,
         request: sip.Request,
         target: Target,
-        heard: Callable[[sip.Response], None],
-        failed: Callable[[str], None],
+        on_response: Callable[[sip.Response], None],
+        on_failure: Callable[[str], None],
     ) -> None:
         super().__init__(layer, key, target.transport == "TCP")
         self.request = request
         self.target = target
-        self.heard = heard
-        self.failed = failed
+        self.on_response = on_response
+        self.on_failure = on_failure
         self.data = bytes(request)
 
-    def send(self) -> None:
+    def send_request(self) -> None:
         self.layer.transport.send(self.data, self.target, lambda: self.fail("transport"))
 
-    def fail(self, why: str) -> None:
+    def fail(self, reason: str) -> None:
+        """Terminates the transaction unless a final response has come."""
         if self.state in ("calling", "trying", "proceeding"):
-            self.end()
-            self.failed(why)
+            self.terminate()
+            self.on_failure(reason)
+
+
+class InviteClientTransaction(ClientTransaction):
+    """RFC 3261 17.1.1: timers A, B and D; M and the accepted state of RFC 6026.
 
+    Timer C limits the wait for a final response after a CANCEL.
+    """
 
-class InviteClient(ClientTransaction):
-    def begin(self) -> None:
+    def start(self) -> None:
         self.state = "calling"
-        self.send()
+        self.send_request()
         if not self.reliable:
-            self.again(self.timing.t1_s)
-        self.start("B", self.timing.limit_s, lambda: self.fail("timeout"))
+            self.schedule_retransmission(self.timing.t1_s)
+        self.start_timer("B", self.timing.timeout_s, lambda: self.fail("timeout"))
 
-    def again(self, gap_s: float) -> None:
-        self.start("A", gap_s, lambda: (self.send(), self.again(2 * gap_s)))
+    def schedule_retransmission(self, interval_s: float) -> None:
+        self.start_timer(
+            "A", interval_s, lambda: (self.send_request(), self.schedule_retransmission(2 * interval_s))
+        )
 
-    def quieten(self) -> None:
-        """No more repeats: were the first one lost, a repeat would be fresh work for a hub that drains."""
-        self.stop("A")
+    def stop_retransmissions(self) -> None:
+        """For a hub that drains: if the first INVITE was lost, a retransmission would be a new call there."""
+        self.stop_timers("A")
 
-    def respond(self, response: sip.Response) -> None:
+    def response_received(self, response: sip.Response) -> None:
         if response.code < 200:
             if self.state in ("calling", "proceeding"):
                 self.state = "proceeding"
-                self.stop("A", "B")
-                self.heard(response)
+                self.stop_timers("A", "B")
+                self.on_response(response)
         elif response.code < 300:
             if self.state in ("calling", "proceeding"):
                 self.state = "accepted"
-                self.stop("A", "B", "C")
-                self.start("M", self.timing.limit_s, self.end)
+                self.stop_timers("A", "B", "C")
+                self.start_timer("M", self.timing.timeout_s, self.terminate)
             if self.state == "accepted":
-                self.heard(response)  # each repeat too: it is acknowledged anew above
+                self.on_response(response)  # retransmissions too: the transaction user sends its ACK again
         elif self.state in ("calling", "proceeding"):
             self.state = "completed"
-            self.stop("A", "B", "C")
-            self.acknowledge(response)
+            self.stop_timers("A", "B", "C")
+            self.send_ack(response)
             if self.reliable:
-                self.end()
+                self.terminate()
             else:
-                self.start("D", max(self.timing.limit_s, 32.0), self.end)
-            self.heard(response)
+                self.start_timer("D", max(self.timing.timeout_s, 32.0), self.terminate)
+            self.on_response(response)
         elif self.state == "completed":
-            self.acknowledge(response)
+            self.send_ack(response)
 
-    def acknowledge(self, response: sip.Response) -> None:
-        """RFC 3261 17.1.1.3: the ACK of a refusal is this transaction's own."""
-        ack = self.layer.beside(self.request, "ACK")
+    def send_ack(self, response: sip.Response) -> None:
+        """The ACK for a 3xx to 6xx response, which belongs to this transaction (RFC 3261 17.1.1.3)."""
+        ack = self.layer.derived_request(self.request, "ACK")
         ack.headers.set("To", response.headers["To"])
         self.layer.transport.send(bytes(ack), self.target)
 
-    def wait_cancelled(self) -> None:
-        """RFC 3261 9.1: 64 T1 after its CANCEL the transaction is over, whether or not an end came."""
-        self.start("C", self.timing.limit_s, lambda: self.fail("timeout"))
+    def start_cancel_timeout(self) -> None:
+        """Ends the transaction 64*T1 after its CANCEL, with or without a final response (RFC 3261 9.1)."""
+        self.start_timer("C", self.timing.timeout_s, lambda: self.fail("timeout"))
+
 
+class NonInviteClientTransaction(ClientTransaction):
+    """RFC 3261 17.1.2: timers E, F and K."""
 
-class OtherClient(ClientTransaction):
-    def begin(self) -> None:
+    def start(self) -> None:
         self.state = "trying"
-        self.send()
+        self.send_request()
         if not self.reliable:
-            self.again(self.timing.t1_s)
-        self.start("F", self.timing.limit_s, lambda: self.fail("timeout"))
+            self.schedule_retransmission(self.timing.t1_s)
+        self.start_timer("F", self.timing.timeout_s, lambda: self.fail("timeout"))
 
-    def again(self, gap_s: float) -> None:
-        following_s = self.timing.t2_s if self.state == "proceeding" else min(2 * gap_s, self.timing.t2_s)
-        self.start("E", gap_s, lambda: (self.send(), self.again(following_s)))
+    def schedule_retransmission(self, interval_s: float) -> None:
+        next_interval_s = (
+            self.timing.t2_s if self.state == "proceeding" else min(2 * interval_s, self.timing.t2_s)
+        )
+        self.start_timer(
+            "E", interval_s, lambda: (self.send_request(), self.schedule_retransmission(next_interval_s))
+        )
 
-    def respond(self, response: sip.Response) -> None:
+    def response_received(self, response: sip.Response) -> None:
         if self.state not in ("trying", "proceeding"):
             return
         if response.code < 200:
             self.state = "proceeding"
         else:
             self.state = "completed"
-            self.stop("E", "F")
+            self.stop_timers("E", "F")
             if self.reliable:
-                self.end()
+                self.terminate()
             else:
-                self.start("K", self.timing.t4_s, self.end)
-        self.heard(response)
+                self.start_timer("K", self.timing.t4_s, self.terminate)
+        self.on_response(response)
 
 
 class TransactionLayer:
-    """Finds the transaction of a message, or hands it up: `requested` new requests, `acked` ACKs of a 2xx."""
+    """Matches each message to its transaction.
+
+    `on_request` is called with the transaction of each new request, `on_ack` with each ACK that belongs to no
+    INVITE transaction, which is one for a 2xx.
+    """
 
     def __init__(self, transport: SipTransport, clock: TurnReactor, timing: Timing) -> None:
         self.transport = transport
@@ -230,22 +276,23 @@
         self.timing = timing
         self.servers: dict[tuple, ServerTransaction] = {}
         self.clients: dict[tuple, ClientTransaction] = {}
-        self.requested: Callable[[ServerTransaction], None] = lambda transaction: None
-        self.acked: Callable[[sip.Request], None] = lambda request: None
-        transport.receive = self.receive
+        self.on_request: Callable[[ServerTransaction], None] = lambda transaction: None
+        self.on_ack: Callable[[sip.Request], None] = lambda request: None
+        transport.on_message = self.receive
 
-    def forget(self, machine: Machine) -> None:
-        table = self.servers if isinstance(machine, ServerTransaction) else self.clients
-        if table.get(machine.key) is machine:
-            del table[machine.key]
+    def remove(self, transaction: Transaction) -> None:
+        table = self.servers if isinstance(transaction, ServerTransaction) else self.clients
+        if table.get(transaction.key) is transaction:
+            del table[transaction.key]
 
     @staticmethod
     def server_key(request: sip.Request, method: str) -> tuple:
+        """The key of a server transaction (RFC 3261 17.2.3); `method` is INVITE for an ACK or a CANCEL."""
         via = request.via[0]
-        mark = via.parameters.get("branch") or ""
-        if mark.startswith(sip.COOKIE):
-            return mark, via.host.lower(), via.port or 5060, method
-        # RFC 3261 17.2.3: without the cookie, what must be equal in an RFC 2543 request and its repeats
+        branch = via.parameters.get("branch") or ""
+        if branch.startswith(sip.BRANCH_COOKIE):
+            return branch, via.host.lower(), via.port or 5060, method
+        # Without the cookie: what is equal in an RFC 2543 request and its retransmissions.
         tag = "" if method == "INVITE" else sip.tag_of(request.to_address)
         return (
             str(request.uri),
@@ -258,57 +305,64 @@
         )
 
     def receive(self, message: sip.Request | sip.Response, source: Target) -> None:
+        """Passes a message to its transaction, or creates one for a new request."""
         if isinstance(message, sip.Response):
-            mark = message.via[0].parameters.get("branch") or ""
-            client = self.clients.get((mark, message.cseq.method))
+            branch = message.via[0].parameters.get("branch") or ""
+            client = self.clients.get((branch, message.cseq.method))
             if client is not None and len(message.via) == 1:
-                client.respond(message)
+                client.response_received(message)
             else:
-                self.transport.drop(f"{source.host}:{source.port}", f"stray response {message.code}")
+                self.transport.drop(f"{source.host}:{source.port}", f"unmatched response {message.code}")
             return
         if message.method == "ACK":
             server = self.servers.get(self.server_key(message, "INVITE"))
-            if isinstance(server, InviteServer) and server.final >= 300:
-                server.acked()
+            if isinstance(server, InviteServerTransaction) and server.final_code >= 300:
+                server.ack_received()
             else:
-                self.acked(message)
+                self.on_ack(message)
             return
         key = self.server_key(message, message.method)
         server = self.servers.get(key)
         if server is not None:
-            server.repeated()
+            server.request_retransmitted()
             return
-        kind = InviteServer if message.method == "INVITE" else OtherServer
-        server = self.servers[key] = kind(self, key, message, source)
+        transaction_class = (
+            InviteServerTransaction if message.method == "INVITE" else NonInviteServerTransaction
+        )
+        server = self.servers[key] = transaction_class(self, key, message, source)
         try:
-            self.requested(server)
+            self.on_request(server)
         except Exception:
-            # guards the one final answer of a request in which a fault is met
-            fault.failure("request {method}", method=message.method)
-            server.respond(sip.response_to(message, 500, sip.tag()))
+            # An exception while the request is processed must not leave it without a final response.
+            logger.failure("request {method}", method=message.method)
+            server.respond(sip.response_to(message, 500, sip.new_tag()))
 
-    def cancelled(self, cancel: sip.Request) -> InviteServer | None:
+    def find_cancelled(self, cancel: sip.Request) -> InviteServerTransaction | None:
+        """The INVITE transaction that a CANCEL is for."""
         server = self.servers.get(self.server_key(cancel, "INVITE"))
-        return server if isinstance(server, InviteServer) else None
+        return server if isinstance(server, InviteServerTransaction) else None
 
-    def request(
+    def send_request(
         self,
         request: sip.Request,
         target: Target,
-        heard: Callable[[sip.Response], None],
-        failed: Callable[[str], None],
+        on_response: Callable[[sip.Response], None],
+        on_failure: Callable[[str], None],
     ) -> ClientTransaction:
+        """Sends a request in a new client transaction; not for an ACK, which has none."""
         key = request.via[0].parameters["branch"], request.method
-        kind = InviteClient if request.method == "INVITE" else OtherClient
-        client = self.clients[key] = kind(self, key, request, target, heard, failed)
-        client.begin()
+        transaction_class = (
+            InviteClientTransaction if request.method == "INVITE" else NonInviteClientTransaction
+        )
+        client = self.clients[key] = transaction_class(self, key, request, target, on_response, on_failure)
+        client.start()
         return client
 
     @staticmethod
-    def beside(request: sip.Request, method: str) -> sip.Request:
-        """A CANCEL, or the ACK of a refusal: the INVITE's own headers and branch."""
+    def derived_request(request: sip.Request, method: str) -> sip.Request:
+        """A CANCEL, or the ACK for a 3xx to 6xx response: it has the INVITE's headers, branch and route."""
         headers = request.headers
-        made = sip.new_request(
+        derived = sip.new_request(
             method,
             str(request.uri),
             request.via[0],
@@ -318,5 +372,5 @@
             request.cseq.sequence,
         )
         for value in headers.getlist("Route"):
-            made.headers.add("Route", value)
-        return made
+            derived.headers.add("Route", value)
+        return derived
--- a/chutefork/sip/transport.py
+++ b/chutefork/sip/transport.py
@@ -1,4 +1,7 @@
-"""SIP over UDP and TCP: framing, where messages go, and one port for both."""
+"""SIP over UDP and TCP: one port for both, message framing, and connections to peers (RFC 3261 section 18).
+
+Points in time are microseconds on the monotonic clock.
+"""
 
 from __future__ import annotations
 
@@ -16,167 +19,195 @@
 if TYPE_CHECKING:
     from ..net.clock import TurnReactor
 
-HEAD_MOST = 32 * 1024
-BODY_MOST = 64 * 1024
-UDP_MOST = 1300  # a larger request goes by TCP (RFC 3261 18.1.1)
-MOST_WAITING = 1000  # messages for a connection that is being made, or takes nothing
-IDLE_US = 120_000_000
-UNUSED_US = 5_000_000  # who connected and brought no message by then is let go
-STREAMS_SHARE = 3 / 4  # of the descriptors, for connections that others made
-SWEEP_S = 1.0
-DROP_LOG_US = 1_000_000  # what is dropped is logged at most so often
-LENGTH = re.compile(rb"(?:content-length|l)[ \t]*:[ \t]*(\d{1,9})[ \t]*\Z", re.I)
+MAX_HEADER_BYTES = 32 * 1024
+MAX_BODY_BYTES = 64 * 1024
+MAX_UDP_REQUEST_BYTES = 1300  # a larger request is sent over TCP (RFC 3261 18.1.1)
+MAX_QUEUED_MESSAGES = 1000  # for one peer whose connection is being opened or is blocked
+IDLE_TIMEOUT_US = 120_000_000
+FIRST_MESSAGE_TIMEOUT_US = 5_000_000  # an inbound connection without a message by then is closed
+INBOUND_SHARE = 3 / 4  # of the file descriptors, for inbound connections
+SWEEP_INTERVAL_S = 1.0
+DROP_LOG_INTERVAL_US = 1_000_000  # dropped messages are logged in one line per interval
+CONTENT_LENGTH = re.compile(rb"(?:content-length|l)[ \t]*:[ \t]*(\d{1,9})[ \t]*\Z", re.I)
 
 
 class Target(NamedTuple):
+    """Where a message goes to or came from."""
+
     transport: str  # UDP or TCP
     host: str
     port: int
-    stream: SipStream | None = None  # the connection that a request came on
+    stream: SipStream | None = None  # the connection that the request was received on
 
 
 class SipStream(Connection, LineReceiver):
+    """A TCP connection: messages are framed by Content-Length, which is mandatory here (RFC 3261 18.3)."""
+
     role = "sip"
     delimiter = b"\r\n"
-    MAX_LENGTH = HEAD_MOST
+    MAX_LENGTH = MAX_HEADER_BYTES
 
-    def __init__(self, hub: SipTransport, key: tuple[str, int] | None = None) -> None:
-        self.hub = hub
-        self.clock = hub.clock
-        self.key = key  # for a connection of our own making
-        self.head: list[bytes] = []
-        self.head_size = 0
-        self.body: list[bytes] = []
-        self.missing = 0
+    def __init__(self, sip_transport: SipTransport, address: tuple[str, int] | None = None) -> None:
+        self.sip_transport = sip_transport
+        self.clock = sip_transport.clock
+        self.outbound_address = address  # the peer that we connected to; None: inbound
+        self.header_lines: list[bytes] = []
+        self.header_bytes = 0
+        self.body_parts: list[bytes] = []
+        self.body_bytes_missing = 0
 
     def connectionMade(self) -> None:  # noqa: N802
         super().connectionMade()
         peer = self.transport.getPeer()
-        self.remote = peer.host, peer.port
-        self.hub.streams[self] = None
-        if self.key is None:
-            self.hub.make_room(self)
+        self.remote_address = peer.host, peer.port
+        self.sip_transport.streams[self] = None
+        if self.outbound_address is None:
+            self.sip_transport.limit_inbound(self)
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
         if line:
-            self.head.append(line)
-            self.head_size += len(line) + 2
-            if self.head_size > HEAD_MOST:
-                self.end("long-head", f"over {HEAD_MOST} bytes")
+            self.header_lines.append(line)
+            self.header_bytes += len(line) + 2
+            if self.header_bytes > MAX_HEADER_BYTES:
+                self.end("long-head", f"over {MAX_HEADER_BYTES} bytes")
             return
-        if not self.head:  # an empty line between messages keeps the connection alive
+        if not self.header_lines:  # an empty line between messages is a keepalive
             return
-        found = next((match for match in map(LENGTH.match, self.head[1:]) if match), None)
-        length = int(found[1]) if found else -1
-        if not 0 <= length <= BODY_MOST:
-            self.hub.unreadable(self.whole(), Target("TCP", *self.remote, self), sip.BadMessage("no length"))
+        length_match = next(
+            (match for match in map(CONTENT_LENGTH.match, self.header_lines[1:]) if match), None
+        )
+        length = int(length_match[1]) if length_match else -1
+        if not 0 <= length <= MAX_BODY_BYTES:
+            self.sip_transport.reject_malformed(
+                self.take_message(),
+                Target("TCP", *self.remote_address, self),
+                sip.BadMessage("Content-Length is missing or too large"),
+            )
             self.end("bad-framing", "Content-Length is missing or too large")
         elif length:
-            self.missing = length
+            self.body_bytes_missing = length
             self.setRawMode()
         else:
-            self.hub.take(self.whole(), Target("TCP", *self.remote, self))
-
-    def whole(self) -> bytes:
-        data = b"\r\n".join(self.head) + b"\r\n\r\n" + b"".join(self.body)
-        self.head, self.head_size, self.body = [], 0, []
+            self.sip_transport.message_received(
+                self.take_message(), Target("TCP", *self.remote_address, self)
+            )
+
+    def take_message(self) -> bytes:
+        """The complete message that was gathered; starts the next one."""
+        data = b"\r\n".join(self.header_lines) + b"\r\n\r\n" + b"".join(self.body_parts)
+        self.header_lines, self.header_bytes, self.body_parts = [], 0, []
         self.taken += 1
         return data
 
     def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
-        part, rest = data[: self.missing], data[self.missing :]
-        self.body.append(part)
-        self.missing -= len(part)
-        if not self.missing:
-            self.hub.take(self.whole(), Target("TCP", *self.remote, self))
+        part, rest = data[: self.body_bytes_missing], data[self.body_bytes_missing :]
+        self.body_parts.append(part)
+        self.body_bytes_missing -= len(part)
+        if not self.body_bytes_missing:
+            self.sip_transport.message_received(
+                self.take_message(), Target("TCP", *self.remote_address, self)
+            )
             if not self.code:
                 self.setLineMode(rest)
 
     def lineLengthExceeded(self, line: bytes) -> None:  # noqa: N802
-        self.end("long-head", f"over {HEAD_MOST} bytes")
+        self.end("long-head", f"over {MAX_HEADER_BYTES} bytes")
 
     def lost(self) -> None:
-        self.hub.streams.pop(self, None)
-        if self.key is not None and self.hub.outbound.get(self.key) is self:
-            del self.hub.outbound[self.key]
+        self.sip_transport.streams.pop(self, None)
+        if (
+            self.outbound_address is not None
+            and self.sip_transport.outbound.get(self.outbound_address) is self
+        ):
+            del self.sip_transport.outbound[self.outbound_address]
 
 
-class _Connector(ClientFactory):
+class _OutboundFactory(ClientFactory):
     noisy = False
 
-    def __init__(self, hub: SipTransport, key: tuple[str, int]) -> None:
-        self.hub = hub
-        self.key = key
+    def __init__(self, sip_transport: SipTransport, address: tuple[str, int]) -> None:
+        self.sip_transport = sip_transport
+        self.address = address
 
     def buildProtocol(self, addr: object) -> SipStream:  # noqa: N802
-        return _Outbound(self.hub, self.key)
+        return _OutboundStream(self.sip_transport, self.address)
 
     def clientConnectionFailed(self, connector: object, reason: object) -> None:  # noqa: N802
         refused = reason.check(error.ConnectionRefusedError) is not None
         log(
-            f"end role=sip peer={self.key[0]}:{self.key[1]} code={'refused' if refused else 'unreached'}"
+            f"end role=sip peer={self.address[0]}:{self.address[1]}"
+            f" code={'refused' if refused else 'unreached'}"
             " age_ms=0 in=0 out=0"
         )
-        self.hub.unsent(self.key)
+        self.sip_transport.fail_queued(self.address)
 
 
-class _Outbound(SipStream):
+class _OutboundStream(SipStream):
+    """A connection to a peer, opened to send what is queued for it."""
+
     def connectionMade(self) -> None:  # noqa: N802
         super().connectionMade()
-        self.hub.outbound[self.key] = self
-        self.flush()
+        self.sip_transport.outbound[self.outbound_address] = self
+        self.send_queued()
 
     def resumeProducing(self) -> None:  # noqa: N802
         super().resumeProducing()
-        self.flush()
+        self.send_queued()
 
-    def flush(self) -> None:
-        for data, _ in self.hub.waiting.pop(self.key, []):
+    def send_queued(self) -> None:
+        for data, _ in self.sip_transport.queued.pop(self.outbound_address, []):
             self.push(data)
 
     def lost(self) -> None:
         super().lost()
-        self.hub.unsent(self.key)
+        self.sip_transport.fail_queued(self.outbound_address)
 
 
-class _Datagrams(DatagramProtocol):
+class _DatagramProtocol(DatagramProtocol):
     noisy = False
 
-    def __init__(self, hub: SipTransport) -> None:
-        self.hub = hub
+    def __init__(self, sip_transport: SipTransport) -> None:
+        self.sip_transport = sip_transport
 
     def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:  # noqa: N802
         if datagram.strip(b"\r\n\0"):
-            self.hub.take(datagram, Target("UDP", addr[0], addr[1]))
+            self.sip_transport.message_received(datagram, Target("UDP", addr[0], addr[1]))
 
 
 class SipTransport:
+    """The UDP and TCP ports, and all connections.
+
+    `on_message` is called with each valid message and its source; `dropped` counts the messages dropped since
+    the last log line about them. `sockets` is the number of file descriptors that may be used.
+    """
+
     def __init__(
         self, clock: TurnReactor, listen: tuple[str, int], connect_timeout_s: float, sockets: int
     ) -> None:
         self.clock = clock
-        self.most = max(round(sockets * STREAMS_SHARE), 1)
+        self.max_inbound = max(round(sockets * INBOUND_SHARE), 1)
         self.host, self.port = listen
         self.connect_timeout_s = connect_timeout_s
         self.streams: dict[SipStream, None] = {}
         self.outbound: dict[tuple[str, int], SipStream] = {}
-        self.waiting: dict[tuple[str, int], list[tuple[bytes, Callable[[], None] | None]]] = {}
-        self.receive: Callable[[sip.Request | sip.Response, Target], None] = lambda message, source: None
-        self.dropped, self.drop_logged_at = 0, -DROP_LOG_US
+        self.queued: dict[tuple[str, int], list[tuple[bytes, Callable[[], None] | None]]] = {}
+        self.on_message: Callable[[sip.Request | sip.Response, Target], None] = lambda message, source: None
+        self.dropped, self.drop_logged_at = 0, -DROP_LOG_INTERVAL_US
 
     def start(self) -> None:
         factory = Factory.forProtocol(lambda: SipStream(self))
         factory.noisy = False
-        datagrams = _Datagrams(self)
-        for last in (False, False, False, True):  # with port 0 the one found for TCP may be taken for UDP
+        datagram_protocol = _DatagramProtocol(self)
+        # With port 0, the port that the system chose for TCP may be in use for UDP: four ports are tried.
+        for last_try in (False, False, False, True):
             listening = self.clock.listenTCP(self.port, factory, interface=self.host)
             try:
                 self.udp = self.clock.listenUDP(
-                    listening.getHost().port, datagrams, interface=self.host, maxPacketSize=65536
+                    listening.getHost().port, datagram_protocol, interface=self.host, maxPacketSize=65536
                 )
             except error.CannotListenError:
                 listening.stopListening()
-                if last or self.port:
+                if last_try or self.port:
                     raise
                 continue
             self.tcp, self.port = listening, listening.getHost().port
@@ -187,93 +218,112 @@
         self.tcp.stopListening()
 
     def sweep(self) -> None:
-        """Guards against peers that vanish without a word: their descriptors would be held for ever."""
+        """Closes idle connections, and inbound ones that never sent a message.
+
+        Guards against peers that vanish without closing: their descriptors would be held for ever.
+        """
         now = self.clock.now_us()
         for stream in list(self.streams):
-            if now - stream.used_at > IDLE_US:
+            if now - stream.used_at > IDLE_TIMEOUT_US:
                 stream.end("idle")
-            elif stream.key is None and not stream.taken and now - stream.made_at > UNUSED_US:
+            elif (
+                stream.outbound_address is None
+                and not stream.taken
+                and now - stream.made_at > FIRST_MESSAGE_TIMEOUT_US
+            ):
                 stream.end("unused")
-        self.clock.callLater(SWEEP_S, self.sweep)
-
-    def make_room(self, newest: SipStream) -> None:
-        """Guards the descriptors against connections by the hundred: the one without a message goes first,
-        then the longest idle, none with something unread. A dialog outlives its connection."""
-        others = [item for item in self.streams if item.key is None and not item.code]
-        if len(others) > self.most:
-            idle = (item for item in others if item.made_at != self.clock.now_us() and not item.unread())
-            least = min(idle, key=lambda item: (item.taken > 0, item.used_at), default=newest)
-            least.end("crowded", at_once=True)
-
-    def take(self, data: bytes, source: Target) -> None:
+        self.clock.callLater(SWEEP_INTERVAL_S, self.sweep)
+
+    def limit_inbound(self, newest: SipStream) -> None:
+        """Closes one inbound connection if there are too many.
+
+        Guards against the use of all descriptors by hundreds of inbound connections. One that has sent no
+        message is closed first, then the one that was idle for longest; one with unread data, or opened in
+        this turn of the loop, is kept. If there is no other, the newest is closed. A dialog outlives its
+        connection.
+        """
+        inbound = [item for item in self.streams if item.outbound_address is None and not item.code]
+        if len(inbound) > self.max_inbound:
+            idle = (item for item in inbound if item.made_at != self.clock.now_us() and not item.unread())
+            evicted = min(idle, key=lambda item: (item.taken > 0, item.used_at), default=newest)
+            evicted.end("crowded", at_once=True)
+
+    def message_received(self, data: bytes, source: Target) -> None:
         try:
             message = sip.parse(data)
-        except sip.BadMessage as fault:
-            self.unreadable(data, source, fault)
+        except sip.BadMessage as exc:
+            self.reject_malformed(data, source, exc)
             return
         if isinstance(message, sip.Request):
-            sip.mark_via(message, source.host, source.port)
-        self.receive(message, source)
+            sip.add_received_and_rport(message, source.host, source.port)
+        self.on_message(message, source)
 
-    def unreadable(self, data: bytes, source: Target, fault: sip.BadMessage) -> None:
-        """Guards against garbage: what asks for an answer gets one, the rest is dropped and counted."""
-        self.drop(f"{source.host}:{source.port}", str(fault))
-        response = sip.answer_to_unreadable(data, fault.code)
+    def reject_malformed(self, data: bytes, source: Target, exc: sip.BadMessage) -> None:
+        """Drops and counts a malformed message; a request gets an error response where that is possible."""
+        self.drop(f"{source.host}:{source.port}", str(exc))
+        response = sip.response_to_malformed(data, exc.code)
         if response is not None:
-            sip.mark_via(response, source.host, source.port)
+            sip.add_received_and_rport(response, source.host, source.port)
             self.send(bytes(response), source)
 
-    def drop(self, peer: str, why: str) -> None:
+    def drop(self, peer: str, detail: str) -> None:
+        """Counts a dropped message; logs the count with this one's peer and detail once per interval."""
         self.dropped += 1
-        if self.clock.now_us() - self.drop_logged_at >= DROP_LOG_US:
-            log(f"sip-drop peer={peer} count={self.dropped} detail={why[:120]!r}")
+        if self.clock.now_us() - self.drop_logged_at >= DROP_LOG_INTERVAL_US:
+            log(f"sip-drop peer={peer} count={self.dropped} detail={detail[:120]!r}")
             self.dropped, self.drop_logged_at = 0, self.clock.now_us()
 
-    def send(self, data: bytes, target: Target, failed: Callable[[], None] | None = None) -> None:
+    def send(self, data: bytes, target: Target, on_failure: Callable[[], None] | None = None) -> None:
+        """Sends a message; over TCP on the target's connection, else on one to its address, opened if needed.
+
+        `on_failure` is called later if the message cannot be sent. A message handed to an open connection may
+        be lost without a call.
+        """
         if target.transport == "UDP":
             try:
                 self.udp.protocol.transport.write(data, (target.host, target.port))
             except (OSError, error.MessageLengthError):
-                if failed is not None:
-                    self.clock.callLater(0, failed)
+                if on_failure is not None:
+                    self.clock.callLater(0, on_failure)
             return
         stream = target.stream
         if stream is not None and stream in self.streams and not stream.code:
             stream.used_at = self.clock.now_us()
             if stream.push(data):
                 return
-        key = target.host, target.port
-        stream = self.outbound.get(key)
+        address = target.host, target.port
+        stream = self.outbound.get(address)
         usable = stream is not None and not stream.code
         if usable and not stream.held:
             stream.used_at = self.clock.now_us()
             if stream.push(data):
                 return
-        waiting = self.waiting.setdefault(key, [])
-        if len(waiting) >= MOST_WAITING:
-            if failed is not None:
-                self.clock.callLater(0, failed)
+        queue = self.queued.setdefault(address, [])
+        if len(queue) >= MAX_QUEUED_MESSAGES:
+            if on_failure is not None:
+                self.clock.callLater(0, on_failure)
             return
-        waiting.append((data, failed))
-        if len(waiting) == 1 and not usable:  # a connection that takes nothing just now flushes later
-            self.clock.connectTCP(*key, _Connector(self, key), timeout=self.connect_timeout_s)
-
-    def unsent(self, key: tuple[str, int]) -> None:
-        for _, failed in self.waiting.pop(key, []):
-            if failed is not None:
-                failed()
-
-    def take_back(self, data: bytes, target: Target) -> bool:
-        """Whether a message was still waiting for its connection; if so it is not sent."""
-        waiting = self.waiting.get((target.host, target.port), [])
-        for place, (queued, _) in enumerate(waiting):
+        queue.append((data, on_failure))
+        if len(queue) == 1 and not usable:  # a blocked connection sends its queue later
+            self.clock.connectTCP(*address, _OutboundFactory(self, address), timeout=self.connect_timeout_s)
+
+    def fail_queued(self, address: tuple[str, int]) -> None:
+        """Reports the failure of all messages queued for an address whose connection failed or ended."""
+        for _, on_failure in self.queued.pop(address, []):
+            if on_failure is not None:
+                on_failure()
+
+    def remove_queued(self, data: bytes, target: Target) -> bool:
+        """Discards a message that is still queued for its connection; False if it is not queued."""
+        queue = self.queued.get((target.host, target.port), [])
+        for index, (queued, _) in enumerate(queue):
             if queued is data:
-                del waiting[place]
+                del queue[index]
                 return True
         return False
 
     def response_target(self, request: sip.Request, source: Target) -> Target:
-        """RFC 3261 18.2.2 and RFC 3581: the connection it came on, else what the topmost Via says."""
+        """Where a response goes: to the connection, else by the topmost Via (RFC 3261 18.2.2, RFC 3581)."""
         via = request.via[0]
         if source.transport == "TCP":
             return Target("TCP", source.host, via.port or 5060, source.stream)
