--- a/chutefork/sip/settings.py
+++ b/chutefork/sip/settings.py
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SipConfig:
-    """The whole file, validated; most fields are its keys."""
+    """The validated configuration; most fields are keys of the file."""
 
     name: str
     listen: tuple[str, int]
--- a/tests/sip_harness.py
+++ b/tests/sip_harness.py
@@ -1,4 +1,4 @@
-"""Stand-ins for SIP callers, SIP hubs and Consul, each met only through its published protocol."""
+"""Test doubles for SIP callers, SIP hubs and Consul; the program reaches them only by their protocols."""
 
 import json
 import re
@@ -17,31 +17,36 @@
 SDP = b"v=0\r\no=- 1 1 IN IP4 127.0.0.1\r\ns=-\r\n"
 
 
-class Msg:
+class SipMessage:
+    """A received message; `code` is 0 for a request."""
+
     def __init__(self, data):
         self.data = data
         head, _, self.body = data.partition(b"\r\n\r\n")
-        self.start, *lines = head.decode().split("\r\n")
+        self.start_line, *lines = head.decode().split("\r\n")
         self.headers = [tuple(part.strip() for part in line.split(":", 1)) for line in lines]
-        self.code = int(self.start.split()[1]) if self.start.startswith("SIP/") else 0
-        self.method = self.get("CSeq").split()[1] if self.code else self.start.split()[0]
+        self.code = int(self.start_line.split()[1]) if self.start_line.startswith("SIP/") else 0
+        self.method = self.get("CSeq").split()[1] if self.code else self.start_line.split()[0]
 
-    def all(self, name):
+    def values(self, name):
         return [value for key, value in self.headers if key.lower() == name.lower()]
 
     def get(self, name, default=""):
-        return (self.all(name) or [default])[0]
+        return (self.values(name) or [default])[0]
 
     def __repr__(self):
-        return f"<{self.start}>"
+        return f"<{self.start_line}>"
+
 
+class SipEndpoint:
+    """A SIP endpoint on one UDP socket, or on any number of TCP connections that it opens or accepts.
 
-class Peer:
-    """A SIP endpoint on one socket, or for TCP on whatever connections it makes and takes."""
+    Messages are sent to `remote`, from which the last message came.
+    """
 
     def __init__(self, transport, port=0):
         self.transport = transport
-        self.seen, self.repeats, self.buffers = set(), [], {}
+        self.seen, self.retransmissions, self.buffers = set(), [], {}
         self.server = None
         if transport == "UDP":
             self.sock = socket.socket(type=socket.SOCK_DGRAM)
@@ -51,28 +56,28 @@
             self.server = listener(("127.0.0.1", port))
             self.address = self.server.getsockname()
         self.streams = []
-        self.route = None  # where the last message came from
+        self.remote = None  # an address for UDP, a connection for TCP
         self.tags = 0
 
-    def listen_too(self):
-        """A UDP endpoint that takes TCP connections on the same port as well."""
+    def listen_tcp_too(self):
+        """Makes a UDP endpoint accept TCP connections on the same port as well."""
         self.server = listener(self.address)
 
     def connect(self, address):
         if self.transport == "UDP":
-            self.route = address
+            self.remote = address
         else:
-            self.route = socket.create_connection(address, timeout=PATIENCE_S)
-            self.streams.append(self.route)
+            self.remote = socket.create_connection(address, timeout=PATIENCE_S)
+            self.streams.append(self.remote)
         return self
 
     def send(self, data):
-        if isinstance(self.route, tuple):
-            self.sock.sendto(data, self.route)
+        if isinstance(self.remote, tuple):
+            self.sock.sendto(data, self.remote)
         else:
-            self.route.sendall(data)
+            self.remote.sendall(data)
 
-    def _raw(self, seconds):
+    def _receive_raw(self, seconds):
         end = time.monotonic() + seconds
         while True:
             for stream, data in self.buffers.items():
@@ -80,7 +85,7 @@
                 size = int(re.search(rb"(?i)content-length: *(\d+)", head)[1]) if blank else 0
                 if blank and len(rest) >= size:
                     self.buffers[stream] = rest[size:]
-                    self.route = stream
+                    self.remote = stream
                     return head + blank + rest[:size]
             watched = [item for item in (getattr(self, "sock", None), self.server, *self.streams) if item]
             ready = select.select(watched, [], [], max(end - time.monotonic(), 0))[0]
@@ -97,54 +102,55 @@
                     else:
                         self.buffers[item] = self.buffers.get(item, b"") + data
                 else:
-                    data, self.route = item.recvfrom(65536)
+                    data, self.remote = item.recvfrom(65536)
                     return data
 
-    def recv(self, seconds=PATIENCE_S):
-        """The next message that is no repeat of one already had."""
+    def receive(self, seconds=PATIENCE_S):
+        """The next message that is not a retransmission; None if there is none in time."""
         end = time.monotonic() + seconds
         while True:
-            data = self._raw(max(end - time.monotonic(), 0))
+            data = self._receive_raw(max(end - time.monotonic(), 0))
             if data is None:
                 return None
             if data not in self.seen:
                 self.seen.add(data)
-                return Msg(data)
-            self.repeats.append(Msg(data))
+                return SipMessage(data)
+            self.retransmissions.append(SipMessage(data))
 
-    def expect(self, what):
-        """The next message, which must be of this method or code; 100 is passed over."""
+    def expect(self, expected):
+        """The next message, which must be of this method or code; a 100 is skipped unless expected."""
         while True:
-            got = self.recv()
-            if got is None or got.code != 100 or what == 100:
+            message = self.receive()
+            if message is None or message.code != 100 or expected == 100:
                 break
-        if got is None or (got.code or got.method) != what:
-            raise AssertionError(f"{what} was awaited, came {got}")
-        return got
+        if message is None or (message.code or message.method) != expected:
+            raise AssertionError(f"{expected} was expected, received {message}")
+        return message
 
-    def again(self, what):
-        """Waits for a repeat of a message already had."""
+    def expect_retransmission(self, expected):
+        """Waits for a retransmission of a message received before, and consumes it."""
         end = time.monotonic() + PATIENCE_S
         while time.monotonic() < end:
-            for item in self.repeats:
-                if (item.code or item.method) == what:
-                    self.repeats.remove(item)
+            for item in self.retransmissions:
+                if (item.code or item.method) == expected:
+                    self.retransmissions.remove(item)
                     return item
-            fresh = self.recv(0.02)
-            if fresh is not None and fresh.code != 100:
-                raise AssertionError(f"a repeat of {what} was awaited, came {fresh}")
-        raise AssertionError(f"no repeat of {what}")
+            new = self.receive(0.02)
+            if new is not None and new.code != 100:
+                raise AssertionError(f"expected a retransmission of {expected}, received {new}")
+        raise AssertionError(f"no retransmission of {expected}")
 
-    def quiet(self, seconds=0.2):
-        got = self.recv(seconds)
-        if got is not None:
-            raise AssertionError(f"silence was awaited, came {got}")
+    def expect_silence(self, seconds=0.2):
+        """Fails if a message comes in time that is not a retransmission."""
+        message = self.receive(seconds)
+        if message is not None:
+            raise AssertionError(f"expected no message, received {message}")
 
     def reply(self, request, code, body=b"", extra=(), tag=None):
-        """A hub's response; its tag is one a request unless given."""
+        """Sends a response; its To tag is `hub` unless one is given."""
         lines = [f"SIP/2.0 {code} X"]
         for name in ("Via", "Record-Route", "From", "Call-ID", "CSeq"):
-            lines += [f"{name}: {value}" for value in request.all(name)]
+            lines += [f"{name}: {value}" for value in request.values(name)]
         to = request.get("To")
         lines.append(f"To: {to}" + ("" if "tag=" in to or code == 100 else f";tag={tag or 'hub'}"))
         lines += [
@@ -162,12 +168,12 @@
                 item.close()
 
 
-class Agent(Peer):
+class CallerAgent(SipEndpoint):
     """A caller's user agent."""
 
-    calls = 0
+    call_count = 0
 
-    def request(
+    def send_request(
         self,
         method,
         number="100",
@@ -176,13 +182,13 @@
         branch=None,
         body=b"",
         extra=(),
-        call=None,
+        call_id=None,
         max_forwards=70,
     ):
-        if call is None:
-            Agent.calls += 1
-            call = f"call-{Agent.calls}-{time.monotonic_ns()}"
-        self.call, self.branch = call, branch or f"z9hG4bK-{method}+{cseq}-{call}"
+        if call_id is None:
+            CallerAgent.call_count += 1
+            call_id = f"call-{CallerAgent.call_count}-{time.monotonic_ns()}"
+        self.call_id, self.branch = call_id, branch or f"z9hG4bK-{method}+{cseq}-{call_id}"
         host, port = self.address
         lines = [
             f"{method} sip:{number}@127.0.0.1 SIP/2.0",
@@ -190,7 +196,7 @@
             f"Max-Forwards: {max_forwards}",
             f'From: "Counter" <sip:counter@{host}>;tag=me',
             f"To: <sip:{number}@127.0.0.1>" + (f";tag={to_tag}" if to_tag else ""),
-            f"Call-ID: {call}",
+            f"Call-ID: {call_id}",
             f"CSeq: {cseq} {method}",
             f"Contact: <sip:me@{host}:{port};transport={self.transport.lower()}>",
             *extra,
@@ -202,41 +208,42 @@
         self.send(data)
         return data
 
-    def invite(self, number="100", body=SDP, **more):
-        data = self.request("INVITE", number, body=body, **more)
+    def send_invite(self, number="100", body=SDP, **options):
+        data = self.send_request("INVITE", number, body=body, **options)
         self.invite_branch = self.branch
         return data
 
-    def cancel(self, number="100"):
-        self.request("CANCEL", number, branch=self.invite_branch, call=self.call)
+    def send_cancel(self, number="100"):
+        self.send_request("CANCEL", number, branch=self.invite_branch, call_id=self.call_id)
 
-    def within(self, method, answer, cseq=2, body=b""):
-        """A request in the dialog of an answer: ACK keeps the INVITE's number."""
-        tag = answer.get("To").partition("tag=")[2]
-        self.request(
+    def send_in_dialog(self, method, response, cseq=2, body=b""):
+        """Sends a request in the dialog of a response; an ACK has the CSeq number of the INVITE, 1."""
+        tag = response.get("To").partition("tag=")[2]
+        self.send_request(
             method,
             cseq=1 if method == "ACK" else cseq,
             to_tag=tag,
-            call=answer.get("Call-ID"),
+            call_id=response.get("Call-ID"),
             branch=f"z9hG4bK-{method}-{time.monotonic_ns()}",
             body=body,
         )
 
-    def ack_refusal(self, answer):
-        tag = answer.get("To").partition("tag=")[2]
-        self.request("ACK", to_tag=tag, call=answer.get("Call-ID"), branch=self.invite_branch)
+    def ack_error(self, response):
+        """Sends the ACK for a 3xx to 6xx response."""
+        tag = response.get("To").partition("tag=")[2]
+        self.send_request("ACK", to_tag=tag, call_id=response.get("Call-ID"), branch=self.invite_branch)
 
 
-class Consul:
-    """The catalogue, health and agent API that the program uses, with blocking queries."""
+class FakeConsul:
+    """The catalog, health and agent APIs that the program uses, with blocking queries."""
 
     def __init__(self, port=0):
         self.index, self.services = 10, {}
         self.puts, self.queries = [], []
         self.agent_status = 200
-        self.sockets = []
-        self.changed = threading.Condition()
-        stand = self
+        self.connections = []
+        self.condition = threading.Condition()
+        consul = self
 
         class Handler(BaseHTTPRequestHandler):
             protocol_version = "HTTP/1.1"
@@ -246,7 +253,7 @@
 
             def setup(self):
                 super().setup()
-                stand.sockets.append(self.connection)
+                consul.connections.append(self.connection)
 
             def reply(self, code, value, **headers):
                 body = json.dumps(value).encode()
@@ -260,13 +267,13 @@
             def do_GET(self):  # noqa: N802
                 split = urlsplit(self.path)
                 query = parse_qs(split.query)
-                with stand.changed:
+                with consul.condition:
                     after = int(query["index"][0])
-                    stand.queries.append((split.path, after))
-                    stand.changed.notify_all()
+                    consul.queries.append((split.path, after))
+                    consul.condition.notify_all()
                     if after:
-                        stand.changed.wait_for(lambda: stand.index != after, 2.0)
-                    index, value = stand.index, stand.view(split.path)
+                        consul.condition.wait_for(lambda: consul.index != after, 2.0)
+                    index, value = consul.index, consul.response_for(split.path)
                 try:
                     self.reply(200, value, X_Consul_Index=str(index))
                 except OSError:
@@ -274,9 +281,9 @@
 
             def do_PUT(self):  # noqa: N802
                 body = self.rfile.read(int(self.headers["Content-Length"]))
-                with stand.changed:
-                    stand.puts.append((self.path, json.loads(body) if body else None))
-                    status = stand.agent_status if "/check/" in self.path else 200
+                with consul.condition:
+                    consul.puts.append((self.path, json.loads(body) if body else None))
+                    status = consul.agent_status if "/check/" in self.path else 200
                 self.reply(status, None)
 
         self.server = ThreadingHTTPServer(("127.0.0.1", port), Handler)
@@ -284,7 +291,7 @@
         self.port = self.server.server_address[1]
         threading.Thread(target=self.server.serve_forever, args=(0.01,), daemon=True).start()
 
-    def view(self, path):
+    def response_for(self, path):
         if "/catalog/" in path:
             return [
                 {
@@ -301,24 +308,24 @@
             for name, (_, _, _, (check, status)) in self.services.items()
         ]
 
-    def put(self, name, number=None, peer=None, status="passing", check="service:x", index=None):
-        with self.changed:
+    def set_service(self, name, number=None, endpoint=None, status="passing", check="service:x", index=None):
+        with self.condition:
             if number is None:
                 number, port, transport, _ = self.services[name]
             else:
-                port, transport = peer.address[1], peer.transport.lower()
+                port, transport = endpoint.address[1], endpoint.transport.lower()
             self.services[name] = number, port, transport, (check, status)
             self.index = index or self.index + 1
-            self.changed.notify_all()
+            self.condition.notify_all()
 
-    def drop(self, name):
-        with self.changed:
+    def remove_service(self, name):
+        with self.condition:
             del self.services[name]
             self.index += 1
-            self.changed.notify_all()
+            self.condition.notify_all()
 
-    def asked(self, index, times=2):
-        """Until the program has taken in an index: it asks both questions from there on."""
+    def wait_for_queries(self, index, times=2):
+        """Waits until the program has processed an index: it sends both its queries from there on."""
         until(
             lambda: sum(query[1] == index for query in list(self.queries)) >= times, f"queries from {index}"
         )
@@ -326,37 +333,37 @@
     def close(self):
         self.server.shutdown()
         self.server.server_close()
-        for sock in self.sockets:
+        for connection in self.connections:
             try:
-                sock.shutdown(socket.SHUT_RDWR)
+                connection.shutdown(socket.SHUT_RDWR)
             except OSError:
                 pass
 
 
-class SipCase(unittest.TestCase):
-    """The program with its SIP front on, two hubs that Consul lists, and one caller."""
+class SipTestCase(unittest.TestCase):
+    """The program with SIP enabled, two hubs that Consul lists, and one caller."""
 
     transport = "UDP"
-    changes = {}
+    config_changes = {}
 
     def setUp(self):
         self.folder = TemporaryDirectory()
         self.addCleanup(self.folder.cleanup)
-        self.consul = Consul()
+        self.consul = FakeConsul()
         self.addCleanup(lambda: self.consul.close())
-        self.one, self.two = self.peer(Peer), self.peer(Peer)
-        self.consul.put("hub-1", 1, self.one)
-        self.consul.put("hub-2", 2, self.two)
-        self.program = self.start()
-        self.consul.asked(self.consul.index)
-        self.caller = self.peer(Agent).connect(self.address)
-
-    def peer(self, kind):
-        made = kind(self.transport)
-        self.addCleanup(made.close)
-        return made
-
-    def start(self):
+        self.hub1, self.hub2 = self.endpoint(SipEndpoint), self.endpoint(SipEndpoint)
+        self.consul.set_service("hub-1", 1, self.hub1)
+        self.consul.set_service("hub-2", 2, self.hub2)
+        self.program = self.start_program()
+        self.consul.wait_for_queries(self.consul.index)
+        self.caller = self.endpoint(CallerAgent).connect(self.address)
+
+    def endpoint(self, endpoint_class):
+        endpoint = endpoint_class(self.transport)
+        self.addCleanup(endpoint.close)
+        return endpoint
+
+    def start_program(self):
         text = (ROOT / "deploy" / "sip.toml").read_text()
         for old, new in (
             ("enabled = false", "enabled = true"),
@@ -367,7 +374,7 @@
             ("ttl_s = 10", "ttl_s = 1"),
             ("wait_s = 30", "wait_s = 2"),
             ('prefix = "2"', 'prefix = "200"'),
-            *self.changes.items(),
+            *self.config_changes.items(),
         ):
             assert old in text, old
             text = text.replace(old, new)
--- a/tests/test_sip.py
+++ b/tests/test_sip.py
@@ -1,4 +1,4 @@
-"""The SIP front on the real program: each call gets exactly one final answer, over UDP and over TCP."""
+"""The SIP side of the real program: every call gets exactly one final response, over UDP and over TCP."""
 
 import contextlib
 import signal
@@ -8,234 +8,236 @@
 import unittest
 
 from .platform_harness import PATIENCE_S, ROOT, PlatformCase, Program, until
-from .sip_harness import SDP, Agent, Consul, Peer, SipCase
+from .sip_harness import SDP, CallerAgent, FakeConsul, SipEndpoint, SipTestCase
 
 ANSWER = b"v=0\r\no=- 2 2 IN IP4 127.0.0.1\r\ns=hub\r\n"
 
 
-class Calls:
-    """The cases for both transports."""
+class CallTests:
+    """Tests that run over UDP and over TCP."""
 
-    def stand(self, hub=None):
-        hub = hub or self.one
-        self.caller.invite()
+    def establish_call(self, hub=None):
+        hub = hub or self.hub1
+        self.caller.send_invite()
         self.invite = hub.expect("INVITE")
         hub.reply(self.invite, 200, ANSWER)
         self.answer = self.caller.expect(200)
-        self.caller.within("ACK", self.answer)
+        self.caller.send_in_dialog("ACK", self.answer)
         self.ack = hub.expect("ACK")
 
-    def refused(self, code):
+    def expect_error(self, code):
         answer = self.caller.expect(code)
-        self.caller.ack_refusal(answer)
-        self.caller.quiet()
+        self.caller.ack_error(answer)
+        self.caller.expect_silence()
         return answer
 
-    def test_the_whole_path_from_invite_to_bye(self):
-        self.caller.invite()
+    def test_complete_call_from_invite_to_bye(self):
+        self.caller.send_invite()
         self.assertEqual(self.caller.expect(100).get("To"), "<sip:100@127.0.0.1>")
-        invite = self.one.expect("INVITE")
+        invite = self.hub1.expect("INVITE")
         self.assertEqual((invite.body, invite.get("Max-Forwards")), (SDP, "69"))
-        self.assertIn("sip:100@", invite.start)
+        self.assertIn("sip:100@", invite.start_line)
         self.assertIn("Counter", invite.get("From"))
-        self.one.reply(invite, 180)
+        self.hub1.reply(invite, 180)
         ringing = self.caller.expect(180)
-        self.one.reply(invite, 200, ANSWER)
+        self.hub1.reply(invite, 200, ANSWER)
         answer = self.caller.expect(200)
         self.assertEqual((answer.body, answer.get("To")), (ANSWER, ringing.get("To")))
-        self.caller.within("ACK", answer)
-        ack = self.one.expect("ACK")
+        self.caller.send_in_dialog("ACK", answer)
+        ack = self.hub1.expect("ACK")
         self.assertEqual(ack.get("CSeq"), "1 ACK")
-        self.caller.within("BYE", answer)
+        self.caller.send_in_dialog("BYE", answer)
         self.assertEqual(self.caller.expect(200).method, "BYE")
-        bye = self.one.expect("BYE")
+        bye = self.hub1.expect("BYE")
         self.assertEqual((bye.get("CSeq"), bye.get("Call-ID")), ("2 BYE", invite.get("Call-ID")))
-        self.one.reply(bye, 200)
-        self.caller.quiet()
+        self.hub1.reply(bye, 200)
+        self.caller.expect_silence()
 
-    def test_a_bye_of_the_hub_ends_the_callers_side(self):
-        self.stand()
+    def test_bye_from_hub_ends_callers_dialog(self):
+        self.establish_call()
         host, port = self.address
-        self.one.send(
+        self.hub1.send(
             (
                 f"BYE sip:{host}:{port} SIP/2.0\r\nVia: SIP/2.0/{self.transport} 127.0.0.1:"
-                f"{self.one.address[1]};branch=z9hG4bKhub;rport\r\nFrom: {self.ack.get('To')}\r\n"
+                f"{self.hub1.address[1]};branch=z9hG4bKhub;rport\r\nFrom: {self.ack.get('To')}\r\n"
                 f"To: {self.ack.get('From')}\r\nCall-ID: {self.ack.get('Call-ID')}\r\nCSeq: 1 BYE\r\n"
                 "Max-Forwards: 70\r\nContent-Length: 0\r\n\r\n"
             ).encode()
         )
-        self.assertEqual(self.one.expect(200).method, "BYE")
+        self.assertEqual(self.hub1.expect(200).method, "BYE")
         bye = self.caller.expect("BYE")
         self.assertEqual(bye.get("To"), self.answer.get("From"))
         self.caller.reply(bye, 200)
 
-    def test_a_repeated_invite_is_one_attempt(self):
-        data = self.caller.invite()
-        invite = self.one.expect("INVITE")
+    def test_retransmitted_invite_makes_one_attempt(self):
+        data = self.caller.send_invite()
+        invite = self.hub1.expect("INVITE")
         self.caller.send(data)
         self.caller.send(data)
-        self.one.quiet()
-        self.assertEqual({item.get("Call-ID") for item in self.one.repeats} - {invite.get("Call-ID")}, set())
-        self.two.quiet(0.01)
-        self.one.reply(invite, 200, ANSWER)
+        self.hub1.expect_silence()
+        self.assertEqual(
+            {item.get("Call-ID") for item in self.hub1.retransmissions} - {invite.get("Call-ID")}, set()
+        )
+        self.hub2.expect_silence(0.01)
+        self.hub1.reply(invite, 200, ANSWER)
         answer = self.caller.expect(200)
-        self.caller.within("ACK", answer)
-        self.one.expect("ACK")
-        self.caller.quiet()
-
-    def test_a_lost_200_comes_again_and_a_lost_ack_towards_the_hub_too(self):
-        self.caller.invite()
-        invite = self.one.expect("INVITE")
-        self.one.reply(invite, 200, ANSWER)
+        self.caller.send_in_dialog("ACK", answer)
+        self.hub1.expect("ACK")
+        self.caller.expect_silence()
+
+    def test_lost_200_and_lost_ack_to_hub_are_retransmitted(self):
+        self.caller.send_invite()
+        invite = self.hub1.expect("INVITE")
+        self.hub1.reply(invite, 200, ANSWER)
         answer = self.caller.expect(200)
-        self.caller.again(200)
-        self.caller.again(200)
-        self.caller.within("ACK", answer)
-        self.one.expect("ACK")
-        self.one.reply(invite, 200, ANSWER)
-        self.one.again("ACK")
-        self.two.quiet(0.01)
-
-    def test_an_ack_that_never_comes_ends_both_sides(self):
-        self.caller.invite()
-        invite = self.one.expect("INVITE")
-        self.one.reply(invite, 200, ANSWER)
+        self.caller.expect_retransmission(200)
+        self.caller.expect_retransmission(200)
+        self.caller.send_in_dialog("ACK", answer)
+        self.hub1.expect("ACK")
+        self.hub1.reply(invite, 200, ANSWER)
+        self.hub1.expect_retransmission("ACK")
+        self.hub2.expect_silence(0.01)
+
+    def test_missing_ack_ends_both_dialogs(self):
+        self.caller.send_invite()
+        invite = self.hub1.expect("INVITE")
+        self.hub1.reply(invite, 200, ANSWER)
         self.caller.expect(200)
-        self.one.expect("ACK")
-        self.one.reply(self.one.expect("BYE"), 200)
+        self.hub1.expect("ACK")
+        self.hub1.reply(self.hub1.expect("BYE"), 200)
         self.caller.reply(self.caller.expect("BYE"), 200)
 
     def test_cancel_before_the_answer(self):
-        self.caller.invite()
-        invite = self.one.expect("INVITE")
-        self.one.reply(invite, 100)
-        self.one.reply(invite, 180)
+        self.caller.send_invite()
+        invite = self.hub1.expect("INVITE")
+        self.hub1.reply(invite, 100)
+        self.hub1.reply(invite, 180)
         self.caller.expect(180)
-        self.caller.cancel()
-        first, second = self.caller.recv(), self.caller.recv()
+        self.caller.send_cancel()
+        first, second = self.caller.receive(), self.caller.receive()
         self.assertEqual(
             {(item.method, item.code) for item in (first, second)}, {("CANCEL", 200), ("INVITE", 487)}
         )
-        self.caller.ack_refusal(first if first.code == 487 else second)
-        cancel = self.one.expect("CANCEL")
+        self.caller.ack_error(first if first.code == 487 else second)
+        cancel = self.hub1.expect("CANCEL")
         self.assertEqual(cancel.get("Via"), invite.get("Via"))
-        self.one.reply(cancel, 200)
-        self.one.reply(invite, 487)
-        ack = self.one.expect("ACK")
+        self.hub1.reply(cancel, 200)
+        self.hub1.reply(invite, 487)
+        ack = self.hub1.expect("ACK")
         self.assertEqual(ack.get("Via"), invite.get("Via"))
-        self.caller.quiet()
+        self.caller.expect_silence()
 
-    def test_cancel_that_crosses_the_hubs_200_is_followed_by_ack_and_bye(self):
-        self.caller.invite()
-        invite = self.one.expect("INVITE")
-        self.one.reply(invite, 180)
+    def test_cancel_crossing_200_from_hub_is_followed_by_ack_and_bye(self):
+        self.caller.send_invite()
+        invite = self.hub1.expect("INVITE")
+        self.hub1.reply(invite, 180)
         self.caller.expect(180)
-        self.caller.cancel()
-        self.one.expect("CANCEL")
-        self.one.reply(invite, 200, ANSWER)
-        self.one.expect("ACK")
-        self.one.reply(self.one.expect("BYE"), 200)
-        codes = [self.caller.recv(), self.caller.recv()]
-        self.assertEqual({(item.method, item.code) for item in codes}, {("CANCEL", 200), ("INVITE", 487)})
-        self.caller.ack_refusal(next(item for item in codes if item.code == 487))
-        self.caller.quiet()
-
-    def test_cancel_that_crosses_our_200_leaves_the_call_standing_until_its_bye(self):
-        self.caller.invite()
-        invite = self.one.expect("INVITE")
-        self.one.reply(invite, 200, ANSWER)
+        self.caller.send_cancel()
+        self.hub1.expect("CANCEL")
+        self.hub1.reply(invite, 200, ANSWER)
+        self.hub1.expect("ACK")
+        self.hub1.reply(self.hub1.expect("BYE"), 200)
+        responses = [self.caller.receive(), self.caller.receive()]
+        self.assertEqual({(item.method, item.code) for item in responses}, {("CANCEL", 200), ("INVITE", 487)})
+        self.caller.ack_error(next(item for item in responses if item.code == 487))
+        self.caller.expect_silence()
+
+    def test_cancel_crossing_200_to_caller_keeps_call_until_bye(self):
+        self.caller.send_invite()
+        invite = self.hub1.expect("INVITE")
+        self.hub1.reply(invite, 200, ANSWER)
         answer = self.caller.expect(200)
-        self.caller.cancel()
+        self.caller.send_cancel()
         self.assertEqual(self.caller.expect(200).method, "CANCEL")
-        self.caller.within("ACK", answer)
-        self.one.expect("ACK")
-        self.caller.within("BYE", answer)
+        self.caller.send_in_dialog("ACK", answer)
+        self.hub1.expect("ACK")
+        self.caller.send_in_dialog("BYE", answer)
         self.assertEqual(self.caller.expect(200).method, "BYE")
-        self.one.expect("BYE")
-
-    def test_cancel_that_crosses_a_refusal_changes_nothing(self):
-        self.caller.invite()
-        self.one.reply(self.one.expect("INVITE"), 486)
-        self.one.expect("ACK")
-        refusal = self.caller.expect(486)
-        self.caller.cancel()
+        self.hub1.expect("BYE")
+
+    def test_cancel_crossing_error_response_has_no_effect(self):
+        self.caller.send_invite()
+        self.hub1.reply(self.hub1.expect("INVITE"), 486)
+        self.hub1.expect("ACK")
+        error_response = self.caller.expect(486)
+        self.caller.send_cancel()
         self.assertEqual(self.caller.expect(200).method, "CANCEL")
-        self.caller.ack_refusal(refusal)
-        self.caller.quiet()
-        self.two.quiet(0.01)
-
-    def test_a_silent_hub_is_followed_by_another_after_the_release_wait_and_its_late_200_by_a_bye(self):
-        self.caller.invite(extra=("Expires: 5",))
-        silent = self.one.expect("INVITE")
-        began = time.monotonic()
-        invite = self.two.expect("INVITE")
-        self.assertGreaterEqual(time.monotonic() - began, 0.3 + 0.3)
+        self.caller.ack_error(error_response)
+        self.caller.expect_silence()
+        self.hub2.expect_silence(0.01)
+
+    def test_silent_hub_is_replaced_after_release_time_and_its_late_200_gets_bye(self):
+        self.caller.send_invite(extra=("Expires: 5",))
+        silent = self.hub1.expect("INVITE")
+        started = time.monotonic()
+        invite = self.hub2.expect("INVITE")
+        self.assertGreaterEqual(time.monotonic() - started, 0.3 + 0.3)
         self.assertEqual(invite.get("X-Transit"), "0")
-        self.two.reply(invite, 200, ANSWER)
+        self.hub2.reply(invite, 200, ANSWER)
         answer = self.caller.expect(200)
-        self.caller.within("ACK", answer)
-        self.two.expect("ACK")
-        self.one.reply(silent, 200, b"late")
-        self.one.expect("ACK")
-        self.one.reply(self.one.expect("BYE"), 200)
-        self.caller.quiet()
-        self.two.quiet(0.01)
-
-    def test_no_answer_in_time_is_504_before_the_caller_leaves(self):
-        began = time.monotonic()
-        self.caller.invite(extra=("Expires: 1",))
-        invite = self.one.expect("INVITE")
-        self.one.reply(invite, 100)
-        self.refused(504)
-        self.assertLess(time.monotonic() - began, 1.5)
-        cancel = self.one.expect("CANCEL")
-        self.one.reply(cancel, 200)
-        self.one.reply(invite, 487)
-        self.one.expect("ACK")
-
-    def test_refusals_of_a_hub_keep_their_meaning(self):
-        for code, extra, wanted in (
+        self.caller.send_in_dialog("ACK", answer)
+        self.hub2.expect("ACK")
+        self.hub1.reply(silent, 200, b"late")
+        self.hub1.expect("ACK")
+        self.hub1.reply(self.hub1.expect("BYE"), 200)
+        self.caller.expect_silence()
+        self.hub2.expect_silence(0.01)
+
+    def test_no_answer_gives_504_before_caller_gives_up(self):
+        started = time.monotonic()
+        self.caller.send_invite(extra=("Expires: 1",))
+        invite = self.hub1.expect("INVITE")
+        self.hub1.reply(invite, 100)
+        self.expect_error(504)
+        self.assertLess(time.monotonic() - started, 1.5)
+        cancel = self.hub1.expect("CANCEL")
+        self.hub1.reply(cancel, 200)
+        self.hub1.reply(invite, 487)
+        self.hub1.expect("ACK")
+
+    def test_error_responses_of_hub_are_mapped(self):
+        for code, extra, expected in (
             (486, (), 486),
             (600, (), 486),
             (488, (), 500),
             (603, (), 500),
             (503, ("Retry-After: 7",), 503),
         ):
-            began = time.monotonic()
-            self.caller.invite()
-            self.one.reply(self.one.expect("INVITE"), code, extra=extra)
-            self.one.expect("ACK")
-            answer = self.refused(wanted)
-            self.assertLess(time.monotonic() - began, 1.0)
-            if wanted == 503:
+            started = time.monotonic()
+            self.caller.send_invite()
+            self.hub1.reply(self.hub1.expect("INVITE"), code, extra=extra)
+            self.hub1.expect("ACK")
+            answer = self.expect_error(expected)
+            self.assertLess(time.monotonic() - started, 1.0)
+            if expected == 503:
                 self.assertTrue(1 <= int(answer.get("Retry-After")) <= 2)
 
-    def test_a_fault_of_the_hub_is_followed_by_another_try_at_once(self):
-        self.caller.invite()
-        self.one.reply(self.one.expect("INVITE"), 500)
-        self.one.expect("ACK")
-        self.one.reply(self.one.expect("INVITE"), 200, ANSWER)
-        self.caller.within("ACK", self.caller.expect(200))
-
-    def test_a_hub_without_a_circuit_is_followed_by_a_way_round_at_once(self):
-        self.caller.invite()
-        self.one.reply(self.one.expect("INVITE"), 503, extra=('Reason: Q.850;cause=34;text="none"',))
-        self.one.expect("ACK")
-        self.two.reply(self.two.expect("INVITE"), 503, extra=("Reason: Q.850;cause=34",))
-        self.two.expect("ACK")
-        self.refused(503)
-
-    def test_an_offer_of_the_hub_is_answered_in_the_ack(self):
-        self.caller.invite(body=b"")
-        invite = self.one.expect("INVITE")
-        self.one.reply(invite, 200, ANSWER)
+    def test_hub_error_is_followed_by_another_attempt_at_once(self):
+        self.caller.send_invite()
+        self.hub1.reply(self.hub1.expect("INVITE"), 500)
+        self.hub1.expect("ACK")
+        self.hub1.reply(self.hub1.expect("INVITE"), 200, ANSWER)
+        self.caller.send_in_dialog("ACK", self.caller.expect(200))
+
+    def test_hub_without_circuit_is_bypassed_via_tandem_at_once(self):
+        self.caller.send_invite()
+        self.hub1.reply(self.hub1.expect("INVITE"), 503, extra=('Reason: Q.850;cause=34;text="none"',))
+        self.hub1.expect("ACK")
+        self.hub2.reply(self.hub2.expect("INVITE"), 503, extra=("Reason: Q.850;cause=34",))
+        self.hub2.expect("ACK")
+        self.expect_error(503)
+
+    def test_delayed_offer_is_answered_in_ack(self):
+        self.caller.send_invite(body=b"")
+        invite = self.hub1.expect("INVITE")
+        self.hub1.reply(invite, 200, ANSWER)
         answer = self.caller.expect(200)
         self.assertEqual(answer.body, ANSWER)
-        self.caller.within("ACK", answer, body=SDP)
-        self.assertEqual(self.one.expect("ACK").body, SDP)
+        self.caller.send_in_dialog("ACK", answer, body=SDP)
+        self.assertEqual(self.hub1.expect("ACK").body, SDP)
 
-    def test_requests_that_cannot_be_served_say_why(self):
-        for method, code, more in (
+    def test_rejected_requests_get_matching_status_code(self):
+        for method, code, options in (
             ("INVITE", 404, {"number": "999"}),
             ("INVITE", 420, {"extra": ("Require: 100rel",)}),
             ("INVITE", 483, {"max_forwards": 0}),
@@ -249,10 +251,10 @@
             ("REGISTER", 405, {}),
             ("OPTIONS", 200, {}),
         ):
-            self.caller.request(method, **more)
+            self.caller.send_request(method, **options)
             if method == "INVITE":
                 self.caller.invite_branch = self.caller.branch
-                answer = self.refused(code)
+                answer = self.expect_error(code)
             else:
                 answer = self.caller.expect(code)
             if code in (405, 200):
@@ -261,181 +263,181 @@
                 self.assertEqual(answer.get("Unsupported"), "100rel")
             self.assertIn(f";branch={self.caller.branch}", answer.get("Via"))
             self.assertIn("received=127.0.0.1", answer.get("Via"))
-        self.one.quiet(0.01)
+        self.hub1.expect_silence(0.01)
 
     def test_route_sets_and_sequence_numbers_of_both_dialogs(self):
         tail = f";lr;transport={self.transport.lower()}"
         routes = [
             f"<sip:127.0.0.1:{peer.address[1]}{tail}{part}>"
-            for peer, part in ((self.caller, ""), (self.one, ";p=1"), (self.one, ";p=2"))
+            for peer, part in ((self.caller, ""), (self.hub1, ";p=1"), (self.hub1, ";p=2"))
         ]
-        self.caller.invite(extra=(f"Record-Route: {routes[0]}",))
-        invite = self.one.expect("INVITE")
-        self.assertEqual(invite.all("Record-Route"), [])
-        self.one.reply(invite, 200, ANSWER, extra=(f"Record-Route: {routes[1]}, {routes[2]}",))
+        self.caller.send_invite(extra=(f"Record-Route: {routes[0]}",))
+        invite = self.hub1.expect("INVITE")
+        self.assertEqual(invite.values("Record-Route"), [])
+        self.hub1.reply(invite, 200, ANSWER, extra=(f"Record-Route: {routes[1]}, {routes[2]}",))
         answer = self.caller.expect(200)
-        self.assertEqual(answer.all("Record-Route"), [routes[0]])
-        self.caller.within("ACK", answer)
-        ack = self.one.expect("ACK")
-        self.assertEqual(ack.all("Route"), [routes[2], routes[1]])
-        self.assertIn(f"sip:127.0.0.1:{self.one.address[1]}", ack.start)
-        self.caller.within("OPTIONS", answer, cseq=7)
+        self.assertEqual(answer.values("Record-Route"), [routes[0]])
+        self.caller.send_in_dialog("ACK", answer)
+        ack = self.hub1.expect("ACK")
+        self.assertEqual(ack.values("Route"), [routes[2], routes[1]])
+        self.assertIn(f"sip:127.0.0.1:{self.hub1.address[1]}", ack.start_line)
+        self.caller.send_in_dialog("OPTIONS", answer, cseq=7)
         self.caller.expect(200)
-        self.caller.within("OPTIONS", answer, cseq=6)
+        self.caller.send_in_dialog("OPTIONS", answer, cseq=6)
         self.caller.expect(500)
-        self.consul.drop("hub-1")
+        self.consul.remove_service("hub-1")
         bye = self.caller.expect("BYE")
-        self.assertEqual((bye.all("Route"), bye.get("CSeq")), ([routes[0]], "1 BYE"))
-        self.assertEqual(self.one.expect("BYE").all("Route"), [routes[2], routes[1]])
+        self.assertEqual((bye.values("Route"), bye.get("CSeq")), ([routes[0]], "1 BYE"))
+        self.assertEqual(self.hub1.expect("BYE").values("Route"), [routes[2], routes[1]])
 
-    def test_a_re_invite_leaves_the_session_and_a_bye_of_before_the_answer_ends_the_call(self):
-        self.stand()
-        self.caller.within("INVITE", self.answer)
+    def test_re_invite_is_rejected_and_bye_in_early_dialog_ends_call(self):
+        self.establish_call()
+        self.caller.send_in_dialog("INVITE", self.answer)
         self.caller.invite_branch = self.caller.branch
-        self.refused(488)
-        self.caller.invite()
-        invite = self.one.expect("INVITE")
-        self.one.reply(invite, 180)
+        self.expect_error(488)
+        self.caller.send_invite()
+        invite = self.hub1.expect("INVITE")
+        self.hub1.reply(invite, 180)
         ringing = self.caller.expect(180)
-        self.caller.within("BYE", ringing)
-        codes = {(item.method, item.code) for item in (self.caller.recv(), self.caller.recv())}
+        self.caller.send_in_dialog("BYE", ringing)
+        codes = {(item.method, item.code) for item in (self.caller.receive(), self.caller.receive())}
         self.assertEqual(codes, {("BYE", 200), ("INVITE", 487)})
-        self.one.expect("CANCEL")
+        self.hub1.expect("CANCEL")
 
-    def test_what_stands_is_ended_on_both_sides_when_the_program_leaves(self):
-        self.stand()
+    def test_shutdown_ends_established_calls_on_both_sides(self):
+        self.establish_call()
         self.program.process.send_signal(signal.SIGTERM)
         self.caller.reply(self.caller.expect("BYE"), 200)
-        self.one.reply(self.one.expect("BYE"), 200)
+        self.hub1.reply(self.hub1.expect("BYE"), 200)
         self.assertEqual(self.program.finish(), 0)
 
-    def test_a_drain_told_by_consul(self):
-        self.stand()
-        self.consul.put("hub-1", status="warning")
-        self.consul.asked(self.consul.index)
-        self.caller.invite()
-        self.assertTrue(self.refused(503).get("Retry-After"))
-        self.one.quiet(0.01)
-        self.consul.drop("hub-1")
+    def test_drain_announced_by_consul(self):
+        self.establish_call()
+        self.consul.set_service("hub-1", status="warning")
+        self.consul.wait_for_queries(self.consul.index)
+        self.caller.send_invite()
+        self.assertTrue(self.expect_error(503).get("Retry-After"))
+        self.hub1.expect_silence(0.01)
+        self.consul.remove_service("hub-1")
         self.caller.reply(self.caller.expect("BYE"), 200)
-        self.one.expect("BYE")
+        self.hub1.expect("BYE")
 
 
-class OverUdp(Calls, SipCase):
+class UdpCallTests(CallTests, SipTestCase):
     transport = "UDP"
 
-    def test_a_repeat_stops_for_a_hub_that_drains(self):
-        self.caller.invite(extra=("Expires: 1",))
-        self.one.expect("INVITE")
-        self.consul.put("hub-1", status="passing", check="_service_maintenance:hub-1")
-        self.consul.asked(self.consul.index)
-        self.one.quiet(0.02)
-        self.one.repeats.clear()
-        self.one.quiet(0.25)
-        self.assertEqual(self.one.repeats, [])
-
-    def test_what_is_lost_is_repeated_until_its_answer_and_no_longer(self):
-        self.caller.invite()
-        invite = self.one.expect("INVITE")
-        self.one.again("INVITE")
-        self.one.again("INVITE")
-        self.one.reply(invite, 486)
-        self.one.expect("ACK")
-        self.one.reply(invite, 486)
-        self.one.again("ACK")
-        refusal = self.caller.expect(486)
-        self.caller.again(486)
-        self.caller.ack_refusal(refusal)
-        self.caller.quiet(0.05)
-        self.caller.repeats.clear()
-        self.caller.quiet(0.4)
-        self.assertEqual(self.caller.repeats, [])
-        self.stand()
-        self.caller.within("BYE", self.answer)
-        bye = self.one.expect("BYE")
-        self.one.again("BYE")
-        self.one.reply(bye, 200)
-        self.one.quiet(0.05)
-        self.one.repeats.clear()
-        self.one.quiet(0.4)
-        self.assertEqual(self.one.repeats, [])
-
-    def test_a_request_too_large_for_a_datagram_goes_by_tcp(self):
-        self.one.listen_too()
+    def test_retransmissions_to_draining_hub_stop(self):
+        self.caller.send_invite(extra=("Expires: 1",))
+        self.hub1.expect("INVITE")
+        self.consul.set_service("hub-1", status="passing", check="_service_maintenance:hub-1")
+        self.consul.wait_for_queries(self.consul.index)
+        self.hub1.expect_silence(0.02)
+        self.hub1.retransmissions.clear()
+        self.hub1.expect_silence(0.25)
+        self.assertEqual(self.hub1.retransmissions, [])
+
+    def test_messages_are_retransmitted_only_until_answered(self):
+        self.caller.send_invite()
+        invite = self.hub1.expect("INVITE")
+        self.hub1.expect_retransmission("INVITE")
+        self.hub1.expect_retransmission("INVITE")
+        self.hub1.reply(invite, 486)
+        self.hub1.expect("ACK")
+        self.hub1.reply(invite, 486)
+        self.hub1.expect_retransmission("ACK")
+        error_response = self.caller.expect(486)
+        self.caller.expect_retransmission(486)
+        self.caller.ack_error(error_response)
+        self.caller.expect_silence(0.05)
+        self.caller.retransmissions.clear()
+        self.caller.expect_silence(0.4)
+        self.assertEqual(self.caller.retransmissions, [])
+        self.establish_call()
+        self.caller.send_in_dialog("BYE", self.answer)
+        bye = self.hub1.expect("BYE")
+        self.hub1.expect_retransmission("BYE")
+        self.hub1.reply(bye, 200)
+        self.hub1.expect_silence(0.05)
+        self.hub1.retransmissions.clear()
+        self.hub1.expect_silence(0.4)
+        self.assertEqual(self.hub1.retransmissions, [])
+
+    def test_request_too_large_for_datagram_uses_tcp(self):
+        self.hub1.listen_tcp_too()
         body = SDP + b"a=x:" + b"y" * 1400 + b"\r\n"
-        self.caller.invite(body=body)
-        invite = self.one.expect("INVITE")
+        self.caller.send_invite(body=body)
+        invite = self.hub1.expect("INVITE")
         self.assertEqual(invite.body, body)
         self.assertIn("SIP/2.0/TCP", invite.get("Via"))
-        self.one.reply(invite, 200, ANSWER)
-        self.caller.within("ACK", self.caller.expect(200))
+        self.hub1.reply(invite, 200, ANSWER)
+        self.caller.send_in_dialog("ACK", self.caller.expect(200))
 
-    def test_the_same_try_by_two_ways_is_a_loop(self):
-        data = self.caller.invite()
-        self.one.expect("INVITE")
+    def test_merged_request_gets_482(self):
+        data = self.caller.send_invite()
+        self.hub1.expect("INVITE")
         self.caller.send(data.replace(self.caller.branch.encode(), b"z9hG4bK-other"))
         self.assertIn("z9hG4bK-other", self.caller.expect(482).get("Via"))
 
-    def test_garbage_is_dropped_and_counted(self):
+    def test_malformed_messages_are_dropped_and_counted(self):
         for data in (b"\xff" * 50, b"INVITE", b"SIP/2.0 200 OK\r\n\r\n", b"\r\n\r\n"):
             self.caller.send(data)
         self.program.wait_log("sip-drop ")
-        self.caller.request("OPTIONS")
+        self.caller.send_request("OPTIONS")
         self.caller.expect(200)
 
 
-class OverTcp(Calls, SipCase):
+class TcpCallTests(CallTests, SipTestCase):
     transport = "TCP"
 
-    def test_messages_are_framed_by_their_length(self):
-        sent, self.caller.route = [], self.caller.route
-        keep, self.caller.send = self.caller.send, sent.append
-        self.caller.request("OPTIONS", body=b"12345")
-        self.caller.request("OPTIONS")
-        whole = b"\r\n\r\n" + b"".join(sent)
-        for part in (whole[:40], whole[40:-9], whole[-9:]):
-            keep(part)
+    def test_messages_are_framed_by_content_length(self):
+        sent, self.caller.remote = [], self.caller.remote
+        send, self.caller.send = self.caller.send, sent.append
+        self.caller.send_request("OPTIONS", body=b"12345")
+        self.caller.send_request("OPTIONS")
+        data = b"\r\n\r\n" + b"".join(sent)
+        for part in (data[:40], data[40:-9], data[-9:]):
+            send(part)
             time.sleep(0.01)
         self.assertEqual((self.caller.expect(200).code, self.caller.expect(200).code), (200, 200))
 
-    def test_a_message_without_its_length_ends_the_connection(self):
+    def test_message_without_content_length_closes_connection(self):
         self.caller.send(
             b"OPTIONS sip:x@127.0.0.1 SIP/2.0\r\nVia: SIP/2.0/TCP 127.0.0.1;branch=z9hG4bKx\r\n"
             b"From: <sip:a@b>;tag=1\r\nTo: <sip:x@127.0.0.1>\r\nCall-ID: c\r\n"
             b"CSeq: 1 OPTIONS\r\n\r\n"
         )
-        self.assertEqual(self.caller.recv().code, 400)
+        self.assertEqual(self.caller.receive().code, 400)
         self.program.wait_log("end role=sip", "code=bad-framing")
 
-    def test_a_hub_that_refuses_connections_is_one_failed_attempt(self):
-        self.one.close()
-        self.caller.invite()
-        answer = self.caller.recv()
+    def test_refused_connection_is_one_failed_attempt(self):
+        self.hub1.close()
+        self.caller.send_invite()
+        answer = self.caller.receive()
         while answer.code == 100:
-            answer = self.caller.recv()
+            answer = self.caller.receive()
         self.assertGreaterEqual(answer.code, 500)
         self.program.wait_log("end role=sip", "code=refused")
 
 
-class Transit(SipCase):
-    changes = {"peers = []": 'peers = ["127.0.0.1"]'}
+class TransitTests(SipTestCase):
+    config_changes = {"peers = []": 'peers = ["127.0.0.1"]'}
 
-    def test_a_call_in_transit_from_a_peer_goes_to_its_destination_or_back(self):
-        self.caller.invite(extra=("X-Transit: 2",))
-        self.one.reply(self.one.expect("INVITE"), 503, extra=("Reason: Q.850;cause=34",))
-        self.one.expect("ACK")
-        self.caller.ack_refusal(self.caller.expect(503))
-        self.two.quiet()
+    def test_call_in_transit_from_peer_goes_to_destination_or_is_rejected(self):
+        self.caller.send_invite(extra=("X-Transit: 2",))
+        self.hub1.reply(self.hub1.expect("INVITE"), 503, extra=("Reason: Q.850;cause=34",))
+        self.hub1.expect("ACK")
+        self.caller.ack_error(self.caller.expect(503))
+        self.hub2.expect_silence()
 
 
-class BothFronts(PlatformCase):
-    def test_one_process_serves_both(self):
-        consul = Consul()
+class CombinedProcessTests(PlatformCase):
+    def test_one_process_serves_sip_and_platform_protocol(self):
+        consul = FakeConsul()
         self.addCleanup(consul.close)
-        hub, caller = Peer("UDP"), Agent("UDP")
+        hub, caller = SipEndpoint("UDP"), CallerAgent("UDP")
         self.addCleanup(hub.close)
         self.addCleanup(caller.close)
-        consul.put("hub-1", 1, hub)
+        consul.set_service("hub-1", 1, hub)
         path = f"{self.folder.name}/sip.toml"
         with open(path, "w") as file:
             file.write(
@@ -447,11 +449,11 @@
             )
         program = self.start(env={"CHUTEFORK_SIP": path})
         self.one.accept()
-        consul.asked(consul.index)
+        consul.wait_for_queries(consul.index)
         port = program.wait_log("serving-sip ")[0].rpartition(":")[2]
-        caller.connect(("127.0.0.1", int(port))).invite()
+        caller.connect(("127.0.0.1", int(port))).send_invite()
         hub.reply(hub.expect("INVITE"), 200, ANSWER)
-        caller.within("ACK", caller.expect(200))
+        caller.send_in_dialog("ACK", caller.expect(200))
         lines = self.caller()
         lines.launch("00000000000000a1")
         self.assertEqual(self.one.read()[:2], (1, "00000000000000a1"))
@@ -462,16 +464,16 @@
         self.assertEqual(program.finish(), 0)
 
 
-class Crowd(SipCase):
+class ConnectionLimitTests(SipTestCase):
     transport = "TCP"
-    changes = {"sockets = 1024": "sockets = 40"}
+    config_changes = {"sockets = 1024": "sockets = 40"}
 
-    def test_silent_connections_make_room_and_are_closed(self):
-        self.caller.request("OPTIONS")
+    def test_silent_connections_are_evicted_and_closed(self):
+        self.caller.send_request("OPTIONS")
         self.caller.expect(200)
         silent = [socket.create_connection(self.address, PATIENCE_S) for _ in range(60)]
         self.program.wait_log("end role=sip", "code=crowded")
-        self.caller.request("OPTIONS")
+        self.caller.send_request("OPTIONS")
         self.caller.expect(200)
         for sock in silent:
             self.addCleanup(sock.close)
@@ -480,8 +482,8 @@
         self.program.wait_log("end role=sip", "code=unused")
 
 
-class Consuls(SipCase):
-    def test_it_registers_itself_keeps_its_check_passing_and_leaves(self):
+class ConsulTests(SipTestCase):
+    def test_service_is_registered_kept_passing_and_deregistered(self):
         until(lambda: any("/check/pass/" in path for path, _ in self.consul.puts), "a pass")
         path, entry = self.consul.puts[0]
         self.assertEqual(path, "/v1/agent/service/register")
@@ -491,44 +493,44 @@
         until(lambda: len(self.consul.puts) > passes + 1, "further passes")
         self.consul.agent_status = 404
         until(lambda: sum("/register" in path for path, _ in self.consul.puts) > 1, "registered again")
-        self.assertLess(len(self.consul.puts), passes + 20)  # it does not ask without pause
+        self.assertLess(len(self.consul.puts), passes + 20)  # it waits between requests
         self.consul.agent_status = 200
         self.program.process.send_signal(signal.SIGTERM)
         self.assertEqual(self.program.finish(), 0)
         self.assertIn("/deregister/", self.consul.puts[-1][0])
 
-    def test_an_index_that_goes_back_is_asked_for_from_the_start(self):
-        self.consul.put("hub-1", status="passing", index=3)
+    def test_index_going_backwards_restarts_query_from_zero(self):
+        self.consul.set_service("hub-1", status="passing", index=3)
         until(lambda: ("/v1/health/service/sip-hub", 0) in self.consul.queries[2:], "a query from 0")
-        self.consul.asked(3)
+        self.consul.wait_for_queries(3)
 
-    def test_the_last_list_holds_while_consul_is_away_and_news_come_when_it_is_back(self):
+    def test_last_list_is_kept_while_consul_is_down_and_updated_afterwards(self):
         port = self.consul.port
         self.consul.close()
         services = self.consul.services
         self.program.wait_log("end role=consul", "code=unreached")
-        self.caller.invite()
-        self.one.reply(self.one.expect("INVITE"), 486)
-        self.caller.ack_refusal(self.caller.expect(486))
-        self.consul = Consul(port)
+        self.caller.send_invite()
+        self.hub1.reply(self.hub1.expect("INVITE"), 486)
+        self.caller.ack_error(self.caller.expect(486))
+        self.consul = FakeConsul(port)
         self.consul.services = services
-        self.consul.put("hub-1", status="critical")
-        self.consul.asked(self.consul.index)
-        self.caller.invite()
-        self.caller.ack_refusal(self.caller.expect(404))
-
-    def test_a_new_hub_is_met_once_consul_lists_it(self):
-        three = self.peer(Peer)
-        self.consul.drop("hub-1")
-        self.consul.asked(self.consul.index)
-        self.consul.put("hub-3", 1, three)
-        self.consul.asked(self.consul.index)
-        self.caller.invite()
-        three.expect("INVITE")
-
-
-class Files(unittest.TestCase):
-    def test_a_bad_file_names_its_key(self):
+        self.consul.set_service("hub-1", status="critical")
+        self.consul.wait_for_queries(self.consul.index)
+        self.caller.send_invite()
+        self.caller.ack_error(self.caller.expect(404))
+
+    def test_new_hub_gets_calls_once_consul_lists_it(self):
+        hub3 = self.endpoint(SipEndpoint)
+        self.consul.remove_service("hub-1")
+        self.consul.wait_for_queries(self.consul.index)
+        self.consul.set_service("hub-3", 1, hub3)
+        self.consul.wait_for_queries(self.consul.index)
+        self.caller.send_invite()
+        hub3.expect("INVITE")
+
+
+class ConfigurationTests(unittest.TestCase):
+    def test_error_for_bad_file_names_its_key(self):
         text = (ROOT / "deploy" / "sip.toml").read_text().replace("enabled = false", "enabled = true")
         with tempfile.TemporaryDirectory() as folder:
             for old, new, key in (
