--- a/chutefork/__main__.py
+++ b/chutefork/__main__.py
@@ -1,6 +1,6 @@
 """Runs a call controller: `python -m chutefork`, configured by the JSON file that EDGE_CONFIG names.
 
-The SIP front is configured by `deploy/sip.toml` or the file that CHUTEFORK_SIP names. It can run alone,
+The SIP side is configured by `deploy/sip.toml` or the file that CHUTEFORK_SIP names. It can run alone,
 without EDGE_CONFIG.
 """
 
@@ -16,15 +16,15 @@
 
 from twisted.logger import globalLogBeginner
 
-from .config import Config, ConfigError, address_of, hub_list_event, load
+from .config import Config, ConfigError, hub_list_event, load, parse_address
 from .core.messages import Shutdown
 from .core.reducer import State
-from .net.callers import CallerFront
+from .net.callers import CallerFrontend
 from .net.channel import Channel
-from .net.clock import TurnReactor, UnixPlace, install
+from .net.clock import CachedClockReactor, UnixClock, install
 from .net.connection import log, log_failure
 from .net.driver import Driver
-from .net.exchanges import ExchangeLegs
+from .net.exchanges import ExchangeBackend
 from .sip import settings as sip_settings
 from .sip.node import SipNode
 
@@ -33,28 +33,28 @@
 
 
 class PlatformNode:
-    """The caller front, the exchange legs and the command channel, around a reducer state of their own."""
+    """The caller frontend, the exchange backend and the command channel, with a core of their own."""
 
-    def __init__(self, config: Config, clock: TurnReactor) -> None:
+    def __init__(self, config: Config, clock: CachedClockReactor) -> None:
         self.clock = clock
         self.config = config
-        self.unix_clock = UnixPlace()
-        self.driver = Driver(State.fresh(config.settings), clock)
-        self.front = CallerFront(self.driver, config, clock)
-        self.legs = ExchangeLegs(
-            self.driver, self.front, clock, config.connect_timeout_s, config.idle_close_s
+        self.unix_clock = UnixClock()
+        self.driver = Driver(State.initial(config.settings), clock)
+        self.frontend = CallerFrontend(self.driver, config, clock)
+        self.backend = ExchangeBackend(
+            self.driver, self.frontend, clock, config.connect_timeout_s, config.idle_close_s
         )
-        self.driver.attach(self.front, self.legs)
-        self.channel = Channel(config.channel, config.cursor, self.apply_commands, clock)
+        self.driver.attach(self.frontend, self.backend)
+        self.channel = Channel(config.channel_address, config.initial_cursor, self.apply_commands, clock)
 
     def start(self) -> None:
-        self.legs.all_tried = self.front.be_ready
-        self.apply_commands(self.config.known)
+        self.backend.on_all_tried = self.frontend.set_ready
+        self.apply_commands(self.config.initial_commands)
         self.channel.connect()
         host, port = self.config.listen
-        self.listening_port = self.clock.listenTCP(port, self.front.factory, backlog=512, interface=host)
-        self.front.sweep()
-        self.legs.watch()
+        self.listening_port = self.clock.listenTCP(port, self.frontend.factory, backlog=512, interface=host)
+        self.frontend.close_idle_connections()
+        self.backend.check_silences()
         log(f"serving name={self.config.name} listen={host}:{self.listening_port.getHost().port}")
 
     def reload(self) -> None:
@@ -62,50 +62,52 @@
 
         At a new address the command channel resumes after the last cursor. Open calls and connections stay.
         What is fixed at start (listen address, settings) is ignored. If the file is invalid, the running
-        configuration stays in force.
+        configuration stays in use.
         """
         try:
             config = load(os.environ.get("EDGE_CONFIG", ""))
         except ConfigError as error:
             log(f"reload kept=running detail={str(error)[:160]!r}")
             return
-        moved = config.channel != self.config.channel
-        log(f"reload channel={config.channel} moved={'yes' if moved else 'no'}")
-        self.config = replace(self.config, channel=config.channel)
+        moved = config.channel_address != self.config.channel_address
+        log(f"reload channel={config.channel_address} moved={'yes' if moved else 'no'}")
+        self.config = replace(self.config, channel_address=config.channel_address)
         if moved:
-            self.channel.move(config.channel)
+            self.channel.move(config.channel_address)
 
     def apply_commands(self, commands: list) -> None:
         """Passes the exchange lists among the commands to the reducer."""
         for command in commands:
             event = hub_list_event(command, self.unix_clock)
             if event is not None:
-                self.driver.tell(event)
+                self.driver.post(event)
 
     def terminate(self, on_stopped: Callable[[], None]) -> None:
         """Keeps serving for a moment after SIGTERM, waits for open calls, then closes everything."""
-        self.front.leaving = True
-        deadline_us = self.clock.now_us() + round((min(self.config.deadline_s, MAX_EXIT_WAIT_S) + 0.4) * 1e6)
+        self.frontend.shutting_down = True
+        deadline_us = self.clock.now_us() + round(
+            (min(self.config.longest_deadline_s, MAX_EXIT_WAIT_S) + 0.4) * 1e6
+        )
         self.clock.callLater(ACCEPT_AFTER_SIGTERM_S, self.close_when_idle, deadline_us, on_stopped)
 
     def close_when_idle(self, deadline_us: int, on_stopped: Callable[[], None]) -> None:
         """Stops listening and, once no call is open or at `deadline_us`, closes all connections."""
         self.listening_port.stopListening()
-        open_calls = len(self.front.owed) + len(self.front.standing)
+        open_calls = len(self.frontend.unanswered) + len(self.frontend.established)
         if open_calls and self.clock.now_us() < deadline_us:
             self.clock.callLater(0.02, self.close_when_idle, deadline_us, on_stopped)
             return
-        log(f"left unanswered={len(self.front.owed)} standing={len(self.front.standing)}")
-        self.driver.tell(Shutdown())  # SIGKILL may be near: refuses every call that is still unanswered
-        for connection in list(self.front.connections):
-            connection.end("leaving")
-        self.legs.leave()
-        self.channel.leave()
+        log(f"left unanswered={len(self.frontend.unanswered)} standing={len(self.frontend.established)}")
+        self.driver.post(Shutdown())  # SIGKILL may be near: refuses every call that is still unanswered
+        for connection in list(self.frontend.connections):
+            connection.close("leaving")
+        self.backend.shut_down()
+        self.channel.shut_down()
         self.wait_for_connections(self.clock.now_us() + 200_000, on_stopped)
 
     def wait_for_connections(self, deadline_us: int, on_stopped: Callable[[], None]) -> None:
         """Leaves the caller connections time to send their last output, until `deadline_us` at most."""
-        if self.front.connections and self.clock.now_us() < deadline_us:
+        if self.frontend.connections and self.clock.now_us() < deadline_us:
             self.clock.callLater(0.01, self.wait_for_connections, deadline_us, on_stopped)
         else:
             on_stopped()
@@ -114,7 +116,7 @@
 def load_configurations() -> tuple[Config | None, sip_settings.SipConfig | None]:
     """The configurations of the platform node and of the SIP node, None for one that does not run.
 
-    EDGE_CONFIG may be unset only if the SIP front is enabled. EDGE_LISTEN, if set, must agree with `listen`
+    EDGE_CONFIG may be unset only if the SIP side is enabled. EDGE_LISTEN, if set, must agree with `listen`
     in EDGE_CONFIG's file. Raises ConfigError.
     """
     path = Path(os.environ.get("CHUTEFORK_SIP") or Path(__file__).parent.parent / "deploy" / "sip.toml")
@@ -123,7 +125,7 @@
         return None, sip_config
     config = load(os.environ.get("EDGE_CONFIG", ""))
     listen = os.environ.get("EDGE_LISTEN")
-    if listen is not None and address_of(listen, "EDGE_LISTEN") != config.listen:
+    if listen is not None and parse_address(listen, "EDGE_LISTEN") != config.listen:
         raise ConfigError("EDGE_LISTEN: differs from listen of EDGE_CONFIG")
     return config, sip_config
 
--- a/chutefork/call_controller.py
+++ b/chutefork/call_controller.py
@@ -29,7 +29,7 @@
 LEVEL_2_THRESHOLD_RATIO = 45 / 40  # threshold of level 2 over that of level 1 (from the paper)
 MAX_CONSECUTIVE_ERRORS = 20  # an exchange that has answered with nothing else gets one attempt per call
 OVERTAKING_SETUPS = 3  # later set-ups established, after which an earlier one no longer waits in the queue
-# Share used of the load that a cold processor stands: the rest is for chance, repeats and redials.
+# Share used of the load that a cold processor can carry: the rest is for chance, repeats and redials.
 COLD_BUDGET_SHARE = 0.5
 
 
@@ -317,7 +317,7 @@
         A run ends with a pause of `patience_s`, as long as a caller waits. A call that comes sooner than a
         refusal asks callers to wait makes the run late. This keeps back late redials, which earn little,
         callers who redial at once whatever a refusal asks, and mass calls to one number, most of which would
-        find all lines busy. Side effect: a second caller of the same number within seconds is taken for a
+        find all lines busy. Side effect: a second caller of the same number within seconds counts as a
         redial.
         """
         if not number:
@@ -501,7 +501,7 @@
         )
 
     def cold_budget_spent(self, now: float, exchange: ExchangeState) -> bool:
-        """Whether this controller has used its part of the load that a processor stands during its warm-up.
+        """Whether this controller has used its part of the load that a processor can carry in its warm-up.
 
         The capacity of a warm processor is estimated by the own one: as many calls end at an exchange as
         begin there, hence the factor 2. A part below one set-up per window of `fall_s` is spread over several
--- a/chutefork/config.py
+++ b/chutefork/config.py
@@ -11,7 +11,7 @@
 
 from . import interface as api
 from .core import messages
-from .net.clock import UnixPlace
+from .net.clock import UnixClock
 from .net.connection import log
 
 
@@ -21,24 +21,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The configuration of the caller front, the exchange connections and the command channel."""
+    """The configuration of the caller frontend, the exchange connections and the command channel."""
 
     name: str
     listen: tuple[str, int]
-    channel: str  # host:port of the command channel
-    cursor: int  # the command channel is polled from this number on
-    known: list  # commands to apply at start, in the command channel's form
+    channel_address: str  # host:port of the command channel
+    initial_cursor: int  # the command channel is polled from this number on
+    initial_commands: list  # commands to apply at start, in the command channel's form
     settings: api.Settings
     class_names: tuple[str, ...]  # in the order of settings.classes
     tenant_names: tuple[str, ...]  # in the order of settings.tenants
     connect_timeout_s: float
-    deadline_s: float  # the longest of all classes
+    longest_deadline_s: float  # of all call classes
     idle_close_s: float
-    sockets: int
+    max_sockets: int
     memory_mb: float
 
 
-class Node:
+class ConfigSection:
     """A JSON or TOML object with typed access to its members.
 
     A member that is missing and has no default, or has the wrong type, raises ConfigError with its path.
@@ -69,22 +69,23 @@
     def flag(self, key: str) -> bool:
         return self.get(key, bool)
 
-    def node(self, key: str) -> Node:
-        return Node(self.value.get(key), self._path_to(key))
+    def section(self, key: str) -> ConfigSection:
+        return ConfigSection(self.value.get(key), self._path_to(key))
 
-    def nodes(self, key: str) -> list[Node]:
+    def sections(self, key: str) -> list[ConfigSection]:
         return [
-            Node(item, f"{self._path_to(key)}[{index}]") for index, item in enumerate(self.get(key, list))
+            ConfigSection(member, f"{self._path_to(key)}[{index}]")
+            for index, member in enumerate(self.get(key, list))
         ]
 
     def numbers(self, key: str) -> list[float]:
         value = self.get(key, list)
-        if not all(isinstance(item, int | float) and not isinstance(item, bool) for item in value):
+        if not all(isinstance(number, int | float) and not isinstance(number, bool) for number in value):
             raise ConfigError(f"{self._path_to(key)}: must be a list of numbers")
         return value
 
 
-def address_of(text: str, key: str) -> tuple[str, int]:
+def parse_address(text: str, key: str) -> tuple[str, int]:
     """Splits `host:port`; port 0 is allowed. Otherwise raises ConfigError, naming `key`."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) < 65536:
@@ -92,10 +93,16 @@
     return host, int(port)
 
 
-def settings_of(node: Node, seed: int) -> tuple[api.Settings, tuple[str, ...], tuple[str, ...]]:
+def parse_settings(
+    section: ConfigSection, seed: int
+) -> tuple[api.Settings, tuple[str, ...], tuple[str, ...]]:
     """The controller's settings, and the names of the call classes and of the tenants in index order."""
-    family_info, limits, rules = node.node("family_info"), node.node("limits"), node.node("rules")
-    services = node.nodes("services")
+    family_info, limits, rules = (
+        section.section("family_info"),
+        section.section("limits"),
+        section.section("rules"),
+    )
+    services = section.sections("services")
     widths, call_lengths_s = family_info.numbers("widths"), family_info.numbers("call_length_s")
     for key, values in (("widths", widths), ("call_length_s", call_lengths_s)):
         if len(values) != len(services):
@@ -114,18 +121,18 @@
         )
         for index, service in enumerate(services)
     )
-    accounts = node.nodes("accounts") if "accounts" in node.value else []
+    accounts = section.sections("accounts") if "accounts" in section.value else []
     if family_info.text("network_form") != "network":
         raise ConfigError("settings.family_info.network_form: only 'network' is supported")
     try:
         settings = api.Settings(
             seed=seed,
             own_number=int(family_info.number("self_no")),
-            controllers=int(node.number("balancers")),
+            controllers=int(section.number("balancers")),
             pools_form=False,
             classes=classes,
             tenants=tuple(api.Tenant(account.number("quota_per_s")) for account in accounts),
-            over_share_worth=node.number("over_share_worth"),
+            over_share_worth=section.number("over_share_worth"),
             release_s=family_info.number("release_s"),
             resend_s=family_info.number("retransmit_s"),
             max_attempts=int(limits.number("max_attempts")),
@@ -140,7 +147,7 @@
             warm_up_s=rules.number("warm_up_s"),
             tip_multiple=rules.number("tip_multiple"),
             fall_s=rules.number("fall_s"),
-            tick_s=node.number("tick_s"),
+            tick_s=section.number("tick_s"),
         )
     except ValueError as error:
         raise ConfigError(f"settings: {error}") from None
@@ -151,7 +158,7 @@
 def parse(text: str) -> Config:
     """Raises ConfigError, or what int() and the JSON parser raise for infinite numbers and deep nesting."""
     try:
-        root = Node(json.loads(text))
+        root = ConfigSection(json.loads(text))
     except ValueError as error:
         raise ConfigError(f"configuration: not JSON: {error}") from None
     seed_text = root.text("seed")
@@ -159,28 +166,28 @@
         seed = int(seed_text, 16)
     except ValueError:
         raise ConfigError(f"seed: not a hexadecimal number: {seed_text!r}") from None
-    settings_node = root.node("settings")
-    settings, class_names, tenant_names = settings_of(settings_node, seed)
-    known_exchanges = root.node("known")
-    limits = root.node("limits") if "limits" in root.value else Node({}, "limits")
+    settings_section = root.section("settings")
+    settings, class_names, tenant_names = parse_settings(settings_section, seed)
+    known_exchanges = root.section("known")
+    limits = root.section("limits") if "limits" in root.value else ConfigSection({}, "limits")
     for key in ("sockets", "memory_mb"):
         if not limits.number(key, 192) > 0:
             raise ConfigError(f"limits.{key}: must be above 0")
     channel = root.text("channel")
-    address_of(channel, "channel")
+    parse_address(channel, "channel")
     return Config(
         name=root.text("name"),
-        listen=address_of(root.text("listen"), "listen"),
-        channel=channel,
-        cursor=int(known_exchanges.number("cursor")),
-        known=known_exchanges.get("cmds", list),
+        listen=parse_address(root.text("listen"), "listen"),
+        channel_address=channel,
+        initial_cursor=int(known_exchanges.number("cursor")),
+        initial_commands=known_exchanges.get("cmds", list),
         settings=settings,
         class_names=class_names,
         tenant_names=tenant_names,
-        connect_timeout_s=settings_node.node("limits").number("connect_timeout_s"),
-        deadline_s=max(call_class.deadline_s for call_class in settings.classes),
-        idle_close_s=settings_node.node("limits").number("idle_close_s", 600.0),
-        sockets=int(limits.number("sockets", 1024)),
+        connect_timeout_s=settings_section.section("limits").number("connect_timeout_s"),
+        longest_deadline_s=max(call_class.deadline_s for call_class in settings.classes),
+        idle_close_s=settings_section.section("limits").number("idle_close_s", 600.0),
+        max_sockets=int(limits.number("sockets", 1024)),
         memory_mb=limits.number("memory_mb", 192),
     )
 
@@ -202,7 +209,7 @@
 }
 
 
-def hub_list_event(command: dict, unix_clock: UnixPlace) -> messages.HubsListed | None:
+def hub_list_event(command: dict, unix_clock: UnixClock) -> messages.HubsListed | None:
     """Converts a command of the command channel to an event for the reducer.
 
     None for a command of another kind, and for one without a list of endpoints, which is logged. Endpoints
@@ -215,16 +222,16 @@
         log("bad-event detail='no list of endpoints'")
         return None
     hubs = []
-    for item in nodes["endpoints"]:
+    for endpoint in nodes["endpoints"]:
         try:
-            address_of(item["address"], "address")
+            parse_address(endpoint["address"], "address")
             hubs.append(
                 messages.Hub(
-                    str(item["name"]),
-                    int(item["group"]),
-                    STATE_BY_STATUS[item["status"]],
-                    item["address"],
-                    unix_clock.monotonic_us(float(item.get("since_ms", 0))),
+                    str(endpoint["name"]),
+                    int(endpoint["group"]),
+                    STATE_BY_STATUS[endpoint["status"]],
+                    endpoint["address"],
+                    unix_clock.monotonic_us(float(endpoint.get("since_ms", 0))),
                 )
             )
         except (ConfigError, ValueError, KeyError, TypeError, AttributeError, OverflowError) as error:
--- a/chutefork/consul.py
+++ b/chutefork/consul.py
@@ -18,7 +18,7 @@
 from .net.http import HttpStream, connect
 
 if TYPE_CHECKING:
-    from .net.clock import TurnReactor, UnixPlace
+    from .net.clock import CachedClockReactor, UnixClock
     from .sip.settings import ConsulConfig
 
 RETRY_DELAY_RANGE_S = (0.1, 10.0)  # first and longest, before jitter; doubles with each failure
@@ -34,12 +34,13 @@
 class ConsulClient:
     """Base of the Consul clients: one HTTP connection, made again with exponential backoff when it fails.
 
-    `HttpStream` calls `made`, `answered` and `lost`; subclasses send the next request in `ask`.
+    `HttpStream` calls `on_connected`, `on_response` and `on_disconnected`; subclasses implement
+    `send_next_request`.
     """
 
     role = "consul"
 
-    def __init__(self, config: ConsulConfig, clock: TurnReactor) -> None:
+    def __init__(self, config: ConsulConfig, clock: CachedClockReactor) -> None:
         self.config = config
         self.address = config.address
         self.clock = clock
@@ -53,15 +54,15 @@
         if not self.stopped:
             connect(self, self.clock)
 
-    def made(self, stream: HttpStream) -> None:
+    def on_connected(self, stream: HttpStream) -> None:
         self.stream = stream
-        self.ask()
+        self.send_next_request()
 
-    def ask(self) -> None:
+    def send_next_request(self) -> None:
         """Sends the next request on `stream`."""
         raise NotImplementedError
 
-    def lost(self) -> None:
+    def on_disconnected(self) -> None:
         self.stream = None
         self.clock.callLater(self.next_retry_delay_s(), self.start)
 
@@ -80,18 +81,20 @@
     """
 
     def __init__(
-        self, config: ConsulConfig, clock: TurnReactor, path: str, on_result: Callable[[list], None]
+        self, config: ConsulConfig, clock: CachedClockReactor, path: str, on_result: Callable[[list], None]
     ) -> None:
         super().__init__(config, clock)
         self.path = path
         self.on_result = on_result
         self.index = 0
 
-    def ask(self) -> None:
+    def send_next_request(self) -> None:
         path = f"{self.path}?index={self.index}&wait={self.config.wait_s:g}s"
-        self.stream.ask("GET", path, self.config.wait_s * 17 / 16 + RESPONSE_TIMEOUT_S, headers=self.headers)
+        self.stream.request(
+            "GET", path, self.config.wait_s * 17 / 16 + RESPONSE_TIMEOUT_S, headers=self.headers
+        )
 
-    def answered(self, status: int, headers: dict[str, str], body: bytes) -> None:
+    def on_response(self, status: int, headers: dict[str, str], body: bytes) -> None:
         """Raises ValueError, KeyError or TypeError for an invalid response, which ends the connection."""
         if status != 200:
             raise ValueError(f"status {status}")
@@ -106,8 +109,8 @@
         # old index would block until the new one passed it, so the next query starts from 0.
         self.index = index if index >= self.index else 0
         self.failures = 0
-        if self.stream is not None and not self.stream.code:
-            self.ask()
+        if self.stream is not None and not self.stream.end_code:
+            self.send_next_request()
 
 
 class Registration(ConsulClient):
@@ -119,7 +122,7 @@
     def __init__(
         self,
         config: ConsulConfig,
-        clock: TurnReactor,
+        clock: CachedClockReactor,
         name: str,
         listen: tuple[str, int],
         meta: dict[str, str],
@@ -134,9 +137,9 @@
         self.deregistering = False
         self.pending_request = ""  # sent and unanswered: "register", "check", "leave" or none
 
-    def ask(self) -> None:
+    def send_next_request(self) -> None:
         """Sends the next request unless one is pending: register, then check renewals, deregister at exit."""
-        if self.stream is None or self.stream.code or self.pending_request:
+        if self.stream is None or self.stream.end_code or self.pending_request:
             return
         body = b""
         if self.deregistering:
@@ -164,34 +167,34 @@
             self.pending_request = "check"
             result = "pass" if self.is_ready() else "warn"
             path = f"/v1/agent/check/{result}/{quote(f'service:{self.id}', safe='')}"
-        self.stream.ask("PUT", path, RESPONSE_TIMEOUT_S, body, self.headers)
+        self.stream.request("PUT", path, RESPONSE_TIMEOUT_S, body, self.headers)
 
-    def answered(self, status: int, headers: dict[str, str], body: bytes) -> None:
+    def on_response(self, status: int, headers: dict[str, str], body: bytes) -> None:
         request, self.pending_request = self.pending_request, ""
         if request == "leave":
             self.stopped = True
-            self.stream.end("leaving")
+            self.stream.close("leaving")
             return
         if request == "register" and status != 200:
             raise ValueError(f"status {status}")
         self.registered = status == 200
         if self.deregistering or request == "register":
-            self.ask()
+            self.send_next_request()
         elif status == 200:
             self.failures = 0
-            self.clock.callLater(self.config.ttl_s / 3, self.ask)
+            self.clock.callLater(self.config.ttl_s / 3, self.send_next_request)
         else:  # the agent has restarted and lost the registration; wait, so as not to repeat without a pause
             log(f"note consul: check refused with {status}, registering again")
-            self.clock.callLater(self.next_retry_delay_s(), self.ask)
+            self.clock.callLater(self.next_retry_delay_s(), self.send_next_request)
 
-    def lost(self) -> None:
+    def on_disconnected(self) -> None:
         self.pending_request = ""
-        super().lost()
+        super().on_disconnected()
 
-    def leave(self) -> None:
+    def deregister(self) -> None:
         """Deregisters the service, once no other request is pending, and then closes the connection."""
         self.deregistering = True
-        self.ask()
+        self.send_next_request()
 
 
 class ConsulMembership:
@@ -204,8 +207,8 @@
     def __init__(
         self,
         config: ConsulConfig,
-        clock: TurnReactor,
-        unix_clock: UnixPlace,
+        clock: CachedClockReactor,
+        unix_clock: UnixClock,
         on_hub_list: Callable[[messages.HubsListed], None],
     ) -> None:
         name = quote(config.service, safe="")
@@ -227,26 +230,26 @@
         for query in self.queries:
             query.stopped = True
             if query.stream is not None:
-                query.stream.end("leaving")
+                query.stream.close("leaving")
 
     def on_catalogue(self, result: list) -> None:
         hubs = {}
-        for item in result:
+        for entry in result:
             try:
-                hub = self.parse_hub(item)
+                hub = self.parse_hub(entry)
                 hubs[hub.name] = hub
             except (ValueError, KeyError, TypeError, AttributeError, OverflowError) as error:
                 log(f"bad-endpoint detail={f'{type(error).__name__}: {error}'[:160]!r}")
         self.hubs_by_id = hubs
         self.publish_if_changed()
 
-    def parse_hub(self, item: dict) -> messages.Hub:
+    def parse_hub(self, entry: dict) -> messages.Hub:
         """A hub from a catalogue entry, in state READY; its address is `host:port`, with `;tcp` for TCP.
 
         An unusable entry raises ValueError, KeyError, TypeError, AttributeError or OverflowError.
         """
-        meta = item.get("ServiceMeta") or {}
-        host, port = item.get("ServiceAddress") or item["Address"], int(item["ServicePort"])
+        meta = entry.get("ServiceMeta") or {}
+        host, port = entry.get("ServiceAddress") or entry["Address"], int(entry["ServicePort"])
         if not 0 < port < 65536:
             raise ValueError(f"port out of range: {port}")
         transport = str(meta.get("transport", "udp")).lower()
@@ -255,14 +258,14 @@
         address = f"{host}:{port}" + (";tcp" if transport == "tcp" else "")
         started_at = self.unix_clock.monotonic_us(float(meta.get("started_ms", 0)))
         return messages.Hub(
-            str(item["ServiceID"]), int(meta["number"]), SwitchState.READY, address, started_at
+            str(entry["ServiceID"]), int(meta["number"]), SwitchState.READY, address, started_at
         )
 
     def on_health(self, result: list) -> None:
         states = {}
-        for item in result:
+        for entry in result:
             try:
-                states[str(item["Service"]["ID"])] = self.state_from_checks(item["Checks"])
+                states[str(entry["Service"]["ID"])] = self.state_from_checks(entry["Checks"])
             except (KeyError, TypeError, AttributeError) as error:
                 log(f"bad-endpoint detail={f'{type(error).__name__}: {error}'[:160]!r}")
         self.states_by_id = states
--- a/chutefork/core/messages.py
+++ b/chutefork/core/messages.py
@@ -1,8 +1,8 @@
-"""Events that the protocol fronts and legs pass to the reducer, and effects that it returns to them.
+"""Events that the protocol frontends and backends pass to the reducer, and effects that it returns to them.
 
-A front talks to callers, a leg to hubs. Points in time are whole microseconds on the monotonic clock; names
-that end in `_us` are durations in microseconds. `call` is the front's number of a call, `hub` the name of a
-`Hub`.
+A frontend serves callers, a backend connects to hubs. Points in time are whole microseconds on the monotonic
+clock; names that end in `_us` are durations in microseconds. `call` is the frontend's number of a call, `hub`
+the name of a `Hub`.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class FailureCause(Enum):
-    """Why a call was not established; each front translates it into a cause or code of its protocol."""
+    """Why a call was not established; each frontend translates it into a cause or code of its protocol."""
 
     UNAVAILABLE = "refused by the controller; a redial is harmless"
     LINES_BUSY = "all lines of the number are busy"
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HubDown:
-    """Event: the hub's process is taken to be gone, so that its established calls are cut."""
+    """Event: the hub's process is considered gone, so that its established calls are cut."""
 
     hub: str
 
@@ -159,7 +159,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Effect, a final answer: tell the caller that the call is established."""
+    """Effect, a final answer: report to the caller that the call is established."""
 
     call: int
     description: str  # the hub's session description
@@ -167,7 +167,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Effect, a final answer: turn the call away."""
+    """Effect, a final answer: refuse the call."""
 
     call: int
     retry_after_us: int  # wait before a redial that the caller is asked for; 0: not indicated
--- a/chutefork/core/reducer.py
+++ b/chutefork/core/reducer.py
@@ -74,7 +74,7 @@
     wake_at: int = 0  # the time in the latest `WakeAt` effect; 0: none outstanding
 
     @classmethod
-    def fresh(cls, settings: api.Settings) -> State:
+    def initial(cls, settings: api.Settings) -> State:
         """Returns the state at program start: no calls, no hubs, and a new controller with these settings."""
         return cls(settings, CallController(settings))
 
@@ -239,7 +239,7 @@
         )
         return
     if event.call in state.finished_at:
-        # If it were sent on, a late answer to the first call with this id could be taken for its answer.
+        # If it were sent on, a late answer to the first call with this id could be mistaken for its answer.
         effects.append(messages.Refuse(event.call, 0, messages.FailureCause.UNAVAILABLE))
         return
     remaining_us = max(event.time_left_us - ANSWER_MARGIN_US, 0)
@@ -465,7 +465,7 @@
                         effects,
                     )
             # Hubs keep appearing under new names all day. Removing those that are gone keeps the state from
-            # growing without bound.
+            # growing without limit.
             del state.hubs[name], state.switch_by_hub[name], state.hub_by_switch[entry.switch]
 
 
--- a/chutefork/interface.py
+++ b/chutefork/interface.py
@@ -133,17 +133,19 @@
             raise ValueError("classes: at least one call class is needed")
         if not self.pools_form and self.own_number < 0:
             raise ValueError("own_number: a network of trunk groups needs this exchange's number")
-        for index, item in enumerate(self.classes):
+        for index, call_class in enumerate(self.classes):
             prefix = f"classes[{index}]."
             for name in ("worth", "late_worth_share", "length_s"):
-                _require_number(prefix + name, getattr(item, name), 0)
-            _require_number(prefix + "width_circuits", item.width_circuits, 1)
+                _require_number(prefix + name, getattr(call_class, name), 0)
+            _require_number(prefix + "width_circuits", call_class.width_circuits, 1)
             for name in ("aim_s", "deadline_s"):
-                if _require_number(prefix + name, getattr(item, name), 0) == 0:
+                if _require_number(prefix + name, getattr(call_class, name), 0) == 0:
                     raise ValueError(f"{prefix}{name}: must be above 0")
-            if item.aim_s > item.deadline_s:
-                raise ValueError(f"{prefix}aim_s: {item.aim_s} exceeds the deadline of {item.deadline_s}")
-            if self.pools_form and not item.pools:
+            if call_class.aim_s > call_class.deadline_s:
+                raise ValueError(
+                    f"{prefix}aim_s: {call_class.aim_s} exceeds the deadline of {call_class.deadline_s}"
+                )
+            if self.pools_form and not call_class.pools:
                 raise ValueError(f"{prefix}pools: the pools form needs at least one pool for every class")
         for index, tenant in enumerate(self.tenants):
             _require_number(f"tenants[{index}].quota_per_s", tenant.quota_per_s, 0)
@@ -275,7 +277,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Action, a final answer: turn the call away."""
+    """Action, a final answer: refuse the call."""
 
     call: int
     hold_off_s: float  # how long the caller is asked to wait before a redial; 0: not indicated
--- a/chutefork/net/callers.py
+++ b/chutefork/net/callers.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from ..config import Config
-    from .clock import TurnReactor
+    from .clock import CachedClockReactor
     from .driver import Driver
 
 UID = re.compile(r"[0-9a-fA-F]{16}\Z")
@@ -26,7 +26,7 @@
 IDLE_TIMEOUT_US = 5_000_000  # callers close an idle connection themselves after 4 s
 # Without a usable message by then the connection is closed: a peer must get an answer or a close within 3 s.
 UNUSED_TIMEOUT_US = 2_000_000
-SWEEP_INTERVAL_S = 0.5
+IDLE_CHECK_INTERVAL_S = 0.5
 MAX_LINES_PER_ITERATION = 16  # of one connection, in one event-loop iteration
 BAD_SETUP_PAUSE_S = 0.25  # reading from a connection pauses for so long after an unusable set-up
 MAX_BAD_SETUPS = 8  # on one connection
@@ -44,6 +44,7 @@
 
 
 def encode_line(kind: str, uid: str, meta: dict | None = None, **fields: object) -> bytes:
+    """A record of the callers' protocol as a JSON line; `fields` go to its top level."""
     record = {"kind": kind, "uid": uid, "meta": meta or {}, **fields}
     return json.dumps(record, separators=(",", ":")).encode() + b"\n"
 
@@ -55,9 +56,9 @@
     delimiter = b"\n"
     MAX_LENGTH = MAX_MESSAGE_BYTES
 
-    def __init__(self, front: CallerFront) -> None:
-        self.front = front
-        self.clock = front.clock
+    def __init__(self, frontend: CallerFrontend) -> None:
+        self.frontend = frontend
+        self.clock = frontend.clock
         self.unanswered: dict[int, str] = {}  # set-ups without a final answer: call -> uid as written
         self.undispatched: dict[int, messages.Arrival] = {}  # those of them not yet passed to the core
         self.used = False  # a usable message has come
@@ -68,51 +69,51 @@
 
     def connectionMade(self) -> None:  # noqa: N802
         super().connectionMade()
-        self.last_line_at = self.made_at
-        self.front.connections[self] = None
-        self.front.limit_connections()
+        self.last_line_at = self.opened_at
+        self.frontend.connections[self] = None
+        self.frontend.limit_connections()
 
     def process_input(self) -> None:
         super().process_input()
         self.dispatch()
 
-    def unread(self) -> bool:
+    def has_unread_input(self) -> bool:
         """A connection whose reading is paused counts too, unless the pause is for bad set-ups."""
-        return self.paused and not self.bad_setups or super().unread()
+        return self.paused and not self.bad_setups or super().has_unread_input()
 
     def dispatch(self) -> None:
         """Passes set-ups to the core once all input that arrived with them is processed: many are withdrawn
         at once, and those are then never sent to an exchange."""
-        while self.undispatched and not self.processing_input and not self.code:
-            self.front.driver.tell(self.undispatched.pop(next(iter(self.undispatched))))
+        while self.undispatched and not self.processing_input and not self.end_code:
+            self.frontend.driver.post(self.undispatched.pop(next(iter(self.undispatched))))
 
-    def push(self, data: bytes) -> bool:
+    def send(self, data: bytes) -> bool:
         if (
-            len(self.output_buffer) + len(data) > self.front.output_share
-            and self.front.buffered_bytes() > self.front.output_limit
+            len(self.output_buffer) + len(data) > self.frontend.output_share
+            and self.frontend.buffered_bytes() > self.frontend.output_limit
         ):
-            # Guards the memory against many peers that do not read: once the limit for all of them is
-            # reached, each connection beyond its own share is closed.
-            self.end("out-overflow", "memory for callers", at_once=True)
-        return super().push(data)
+            # Limits the memory that many peers that do not read can take: once the limit for all of them
+            # is reached, each connection beyond its own share is closed.
+            self.close("out-overflow", "memory for callers", at_once=True)
+        return super().send(data)
 
     def reject_bad_setup(self, uid: str) -> None:
-        """Answers an unusable set-up with a failure. Guards the event loop against a peer that keeps sending
-        them: reading from it pauses after each, and after MAX_BAD_SETUPS its connection is closed."""
+        """Answers an unusable set-up with a failure. So that a peer that keeps sending them cannot occupy the
+        event loop, reading from it pauses after each, and after MAX_BAD_SETUPS its connection is closed."""
         self.bad_setups += 1
-        self.push(encode_line("stop", uid, reason=CAUSE_FAILED))
+        self.send(encode_line("stop", uid, reason=CAUSE_FAILED))
         if self.bad_setups >= MAX_BAD_SETUPS:
-            self.end("bad-setups", f"{self.bad_setups} unusable set-ups")
+            self.close("bad-setups", f"{self.bad_setups} unusable set-ups")
         else:
             self.pause_reading(BAD_SETUP_PAUSE_S)
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
-        self.taken += 1
+        self.messages_received += 1
         now = self.clock.now_us()
         self.lines_counted = self.lines_counted + 1 if self.counted_at == now else 1
         self.counted_at = now
         if self.lines_counted >= MAX_LINES_PER_ITERATION:
-            # guards the other connections against being kept waiting by a flood on one
+            # prevents a flood on one connection from delaying the others
             self.pause_reading(0)
         try:
             record = json.loads(line)
@@ -120,21 +121,21 @@
             if not isinstance(kind, str) or not isinstance(uid, str):
                 raise TypeError("kind and uid must be strings")
         except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as exc:
-            self.end("bad-line", f"{type(exc).__name__}: {exc}")
+            self.close("bad-line", f"{type(exc).__name__}: {exc}")
             return
         self.last_line_at = now
         if kind == "check":
             self.used = True
-            self.front.check(self, uid)
+            self.frontend.check(self, uid)
             return
         if kind not in ("launch", "stop"):
             return  # progress, acknowledged releases and kinds of later protocol versions need no action here
         if not UID.match(uid):
-            self.end("bad-line", "uid is not 16 hex digits")
+            self.close("bad-line", "uid is not 16 hex digits")
         elif kind == "launch":
-            self.front.launch(self, int(uid, 16), uid, record)
+            self.frontend.launch(self, int(uid, 16), uid, record)
         else:
-            self.front.withdraw(int(uid, 16))
+            self.frontend.withdraw(int(uid, 16))
 
     def resumeProducing(self) -> None:  # noqa: N802
         super().resumeProducing()
@@ -142,29 +143,29 @@
             self.buffered_releases.clear()
 
     def lineLengthExceeded(self, line: bytes) -> None:  # noqa: N802
-        self.end("long-line", f"over {MAX_MESSAGE_BYTES} bytes")
+        self.close("long-line", f"over {MAX_MESSAGE_BYTES} bytes")
 
-    def lost(self) -> None:
-        self.front.connection_lost(self)
+    def on_closed(self) -> None:
+        self.frontend.connection_lost(self)
 
 
-class CallerFront:
+class CallerFrontend:
     """All callers' connections: accepts set-ups within the limits of memory and descriptors, and sends each
     its final answer and each established call its end."""
 
-    def __init__(self, driver: Driver, config: Config, clock: TurnReactor) -> None:
+    def __init__(self, driver: Driver, config: Config, clock: CachedClockReactor) -> None:
         self.driver = driver
         self.clock = clock
         self.classes = {name: index for index, name in enumerate(config.class_names)}
         self.tenants = {name: index for index, name in enumerate(config.tenant_names)}
-        self.widths = [item.width_circuits for item in config.settings.classes]
-        self.max_connections = max(round(config.sockets * CALLER_SOCKETS_SHARE), 1)
+        self.widths = [call_class.width_circuits for call_class in config.settings.classes]
+        self.max_connections = max(round(config.max_sockets * CALLER_SOCKETS_SHARE), 1)
         self.output_limit = round(config.memory_mb * 2**20 * OUTPUT_MEMORY_SHARE)  # bytes, all connections
         self.output_share = self.output_limit // self.max_connections  # bytes, one connection
-        self.max_time_left_ms = config.deadline_s * 1000 * TIME_LEFT_MARGIN
+        self.max_time_left_ms = config.longest_deadline_s * 1000 * TIME_LEFT_MARGIN
         self.connections: dict[CallerProtocol, None] = {}  # oldest first
-        self.owed: dict[int, CallerProtocol] = {}  # unanswered set-ups: call -> where the final answer goes
-        self.standing: dict[int, tuple[CallerProtocol, str]] = {}  # established calls: -> connection, uid
+        self.unanswered: dict[int, CallerProtocol] = {}  # set-ups: call -> where the final answer goes
+        self.established: dict[int, tuple[CallerProtocol, str]] = {}  # call -> connection, uid
         self.unsent_releases: list[bytes] = []  # for which no connection was open
         self.setup_texts: dict[int, tuple[str, str, str]] = {}  # class, number called, description as given
         self.description_room = round(config.memory_mb * 2**20 * DESCRIPTION_MEMORY_SHARE)  # bytes left
@@ -173,7 +174,7 @@
         self.overload_meta = {"wait": str(wait_ms)} if wait_ms else {}  # for refusals by the limits here
         self.eviction_at = 0  # the iteration whose new connections are about to be evicted for; 0: none
         self.ready = False
-        self.leaving = False
+        self.shutting_down = False
         self.waiting_checks: list[tuple[CallerProtocol, str]] = []  # received before the program was ready
         self.factory = Factory.forProtocol(lambda: CallerProtocol(self))
         self.factory.noisy = False
@@ -182,37 +183,37 @@
         """Answers a health check; not before the list of exchanges is known and a connection to each of them
         has been tried."""
         if self.ready:
-            connection.push(encode_line("checked", uid, reason=0 if self.leaving else 1))
+            connection.send(encode_line("checked", uid, reason=0 if self.shutting_down else 1))
         elif len(self.waiting_checks) < MAX_WAITING_CHECKS:
             self.waiting_checks.append((connection, uid))
 
-    def be_ready(self) -> None:
+    def set_ready(self) -> None:
         """Answers the waiting health checks, and later ones at once."""
         self.ready = True
         checks, self.waiting_checks = self.waiting_checks, []
         for connection, uid in checks:
             self.check(connection, uid)
 
-    def sweep(self) -> None:
-        """Closes unused and idle connections, now and every SWEEP_INTERVAL_S. Guards against callers that
-        vanish without closing theirs, which would hold descriptors for ever."""
-        now, with_calls = self.clock.now_us(), {origin[0] for origin in self.standing.values()}
+    def close_idle_connections(self) -> None:
+        """Closes unused and idle connections, now and every IDLE_CHECK_INTERVAL_S. Otherwise callers that
+        vanish without closing theirs would hold descriptors indefinitely."""
+        now, with_calls = self.clock.now_us(), {origin[0] for origin in self.established.values()}
         for connection in list(self.connections):
-            if connection.unanswered or connection.code:
+            if connection.unanswered or connection.end_code:
                 continue
-            if not connection.used and now - connection.made_at > UNUSED_TIMEOUT_US:
-                connection.end("unused")
+            if not connection.used and now - connection.opened_at > UNUSED_TIMEOUT_US:
+                connection.close("unused")
             elif (
                 connection not in with_calls
-                and not connection.unread()
+                and not connection.has_unread_input()
                 and now - connection.last_line_at
                 > (IDLE_TIMEOUT_US if connection.calls_carried else UNUSED_TIMEOUT_US)
             ):
-                connection.end("idle")
-        self.clock.callLater(SWEEP_INTERVAL_S, self.sweep)
+                connection.close("idle")
+        self.clock.callLater(IDLE_CHECK_INTERVAL_S, self.close_idle_connections)
 
     def buffered_bytes(self) -> int:
-        return sum(len(item.output_buffer) for item in self.connections)
+        return sum(len(connection.output_buffer) for connection in self.connections)
 
     def limit_connections(self) -> None:
         """Schedules an eviction if there are too many connections: one for all that were accepted in an
@@ -222,10 +223,10 @@
             self.clock.callLater(0, self.evict_connections)
 
     def open_connections(self) -> int:
-        return sum(not item.code for item in self.connections)
+        return sum(not connection.end_code for connection in self.connections)
 
     def evict_connections(self) -> None:
-        """Closes connections over the limit. Guards the descriptors against hundreds of connections at once.
+        """Closes connections over the limit, so that hundreds at once cannot use up the descriptors.
 
         Connections without an unanswered set-up are closed, the least important first: those that have sent
         nothing usable, then those with nothing but checks and refused set-ups, then the longest idle.
@@ -237,35 +238,44 @@
         eviction_at, self.eviction_at = self.eviction_at, 0
         excess, with_calls = (
             self.open_connections() - self.max_connections,
-            {origin[0] for origin in self.standing.values()},
+            {origin[0] for origin in self.established.values()},
         )
         idle = sorted(
-            (item for item in self.connections if not (item.unanswered or item.code)),
-            key=lambda item: (item.used, item.calls_carried > 0, item in with_calls, item.last_line_at),
+            (
+                connection
+                for connection in self.connections
+                if not (connection.unanswered or connection.end_code)
+            ),
+            key=lambda connection: (
+                connection.used,
+                connection.calls_carried > 0,
+                connection in with_calls,
+                connection.last_line_at,
+            ),
         )
         spared = []
-        for item in idle:
+        for connection in idle:
             if excess <= 0:
                 return
-            if item.made_at == eviction_at or item.unread():
-                spared.append(item)
+            if connection.opened_at == eviction_at or connection.has_unread_input():
+                spared.append(connection)
                 continue
-            item.end("crowded", at_once=not item.used)
+            connection.close("crowded", at_once=not connection.used)
             excess -= 1
-        spared.sort(key=lambda item: (item.used, -item.made_at))
-        for item in spared[: max(excess, 0)]:
-            item.end("crowded", at_once=not item.used)
+        spared.sort(key=lambda connection: (connection.used, -connection.opened_at))
+        for connection in spared[: max(excess, 0)]:
+            connection.close("crowded", at_once=not connection.used)
 
     def launch(self, connection: CallerProtocol, call: int, uid: str, record: dict) -> None:
         """Accepts a set-up, or answers it here: as failed if it is unusable, as refused over the limits."""
         try:
             arrival, texts = self.parse_setup(call, record)
-            owner = self.owed.get(call) or self.standing.get(call, (None,))[0]
+            owner = self.unanswered.get(call) or self.established.get(call, (None,))[0]
             if owner is connection and self.setup_texts.get(call) == texts:
                 return  # a duplicate: the first one is answered
             if owner is connection:
-                # The answers to the two, or an answer and a release, could not be told apart: both end here.
-                connection.end("id-reused", f"uid {uid}")
+                # The answers to the two, or an answer and a release, could not be distinguished: both end.
+                connection.close("id-reused", f"uid {uid}")
                 return
             if owner is not None:
                 raise ValueError("uid is in use by an open call")
@@ -279,12 +289,12 @@
             self.send_unsent_releases(connection)
         if (
             len(connection.unanswered) >= MAX_UNANSWERED_PER_CONNECTION
-            or len(self.owed) >= self.max_unanswered
+            or len(self.unanswered) >= self.max_unanswered
             or len(texts[2]) > self.description_room
-        ):  # guards the memory against thousands of set-ups
-            connection.push(encode_line("stop", uid, self.overload_meta, reason=CAUSE_NO_CIRCUIT))
+        ):  # limits the memory that thousands of set-ups can take
+            connection.send(encode_line("stop", uid, self.overload_meta, reason=CAUSE_NO_CIRCUIT))
             return
-        self.owed[call] = connection
+        self.unanswered[call] = connection
         connection.unanswered[call] = uid
         self.setup_texts[call] = texts
         self.description_room -= len(texts[2])
@@ -329,7 +339,7 @@
             raise ValueError(f"width {arrival.width_circuits!r} differs from that of the class")
         if arrival.destination < 0 or arrival.advice < -1:
             raise ValueError("dest or via is out of range")
-        # Guards the other calls on the exchange's connection: it closes that on a set-up it cannot read.
+        # Protects the other calls on the exchange's connection: it closes that on a set-up it cannot read.
         if not body or CONTROL_CHARACTERS.search(body):
             raise ValueError("body is empty or has control characters")
         if len(name) + len(key) + len(body.encode()) + FRAME_OVERHEAD_BYTES > MAX_MESSAGE_BYTES:
@@ -338,22 +348,23 @@
 
     def withdraw(self, call: int) -> None:
         """Withdraws a set-up or hangs up an established call; the request may come on any connection."""
-        connection = self.owed.pop(call, None)
+        connection = self.unanswered.pop(call, None)
         if connection is not None:
             connection.unanswered.pop(call, None)
             connection.used = True
             self.discard_texts(call)
             if connection.undispatched.pop(call, None) is not None:
                 return
-        if connection is not None or self.standing.pop(call, None) is not None:
-            self.driver.tell(messages.Withdrawn(call))
+        if connection is not None or self.established.pop(call, None) is not None:
+            self.driver.post(messages.Withdrawn(call))
 
     def connection_lost(self, connection: CallerProtocol) -> None:
         self.connections.pop(connection, None)
         for call in list(connection.unanswered):
             self.withdraw(call)
         releases, connection.buffered_releases = connection.buffered_releases, []
-        for data in releases:  # guards the ends of calls against a connection whose peer had stopped reading
+        # The ends of calls must not be lost with a connection whose peer had stopped reading.
+        for data in releases:
             self.send_release(data, None)
 
     def discard_texts(self, call: int) -> None:
@@ -365,7 +376,7 @@
     def take_unanswered(self, call: int) -> tuple[CallerProtocol, str] | None:
         """Removes a set-up that gets its final answer now: its connection and uid, or None if withdrawn."""
         self.discard_texts(call)
-        connection = self.owed.pop(call, None)
+        connection = self.unanswered.pop(call, None)
         if connection is None:
             return None
         return connection, connection.unanswered.pop(call)
@@ -377,41 +388,42 @@
         data = encode_line("running", origin[1], body=effect.description)
         if len(data) > MAX_MESSAGE_BYTES:
             log(f"long-answer uid={origin[1]} bytes={len(data)}")
-            origin[0].push(encode_line("stop", origin[1], reason=CAUSE_FAILED))
-        elif origin[0].push(data):
-            self.standing[effect.call] = origin
+            origin[0].send(encode_line("stop", origin[1], reason=CAUSE_FAILED))
+        elif origin[0].send(data):
+            self.established[effect.call] = origin
             origin[0].calls_carried += 1
             return
-        self.driver.later(messages.Withdrawn(effect.call))
+        self.driver.post_later(messages.Withdrawn(effect.call))
 
     def refuse(self, effect: messages.Refuse) -> None:
         origin = self.take_unanswered(effect.call)
         if origin is not None:
             meta = {"wait": str(effect.retry_after_us // 1000)} if effect.retry_after_us > 0 else {}
             cause = CAUSE_NO_CIRCUIT if effect.cause is messages.FailureCause.UNAVAILABLE else CAUSE_REFUSED
-            origin[0].push(encode_line("stop", origin[1], meta, reason=cause))
+            origin[0].send(encode_line("stop", origin[1], meta, reason=cause))
 
     def fail(self, effect: messages.Fail) -> None:
         origin = self.take_unanswered(effect.call)
         if origin is not None:
-            origin[0].push(encode_line("stop", origin[1], reason=CAUSE_FAILED))
+            origin[0].send(encode_line("stop", origin[1], reason=CAUSE_FAILED))
 
-    def over(self, effect: messages.CallEnded) -> None:
+    def call_ended(self, effect: messages.CallEnded) -> None:
         """Sends the end of an established call: on the connection of its set-up, else on the one that has
         carried most calls, else on the next one to bring a set-up. A connection that has carried no call may
         belong to a peer that is not a caller at all."""
-        connection, uid = self.standing.pop(effect.call, (None, f"{effect.call:016x}"))
+        connection, uid = self.established.pop(effect.call, (None, f"{effect.call:016x}"))
         self.send_release(
             encode_line("stop", uid, reason=CAUSE_FAILED if effect.cut else CAUSE_ENDED), connection
         )
 
     def send_release(self, data: bytes, connection: CallerProtocol | None) -> None:
         carriers = sorted(
-            (item for item in self.connections if item.calls_carried), key=lambda item: -item.calls_carried
+            (carrier for carrier in self.connections if carrier.calls_carried),
+            key=lambda carrier: -carrier.calls_carried,
         )
         for candidate in (connection, *carriers):
-            if candidate in self.connections and candidate.push(data):
-                if candidate.held:
+            if candidate in self.connections and candidate.send(data):
+                if candidate.write_blocked:
                     candidate.buffered_releases.append(data)
                 return
         if len(self.unsent_releases) < MAX_UNSENT_RELEASES:
@@ -420,4 +432,4 @@
     def send_unsent_releases(self, connection: CallerProtocol) -> None:
         releases, self.unsent_releases = self.unsent_releases, []
         for data in releases:
-            connection.push(data)
+            connection.send(data)
--- a/chutefork/net/channel.py
+++ b/chutefork/net/channel.py
@@ -12,17 +12,17 @@
 if TYPE_CHECKING:
     from twisted.internet.interfaces import IConnector, IDelayedCall
 
-    from .clock import TurnReactor
+    from .clock import CachedClockReactor
 
 # Changes take effect two seconds after their publication. A poll is short, and a reconnect immediate, so that
 # a broken connection is noticed and replaced well before that.
 POLL_MS = 1000
-POLL_TIMEOUT_S = POLL_MS / 1000 + 0.6  # without a response by then the connection is taken as broken
+POLL_TIMEOUT_S = POLL_MS / 1000 + 0.6  # without a response by then the connection is considered broken
 RETRY_DELAYS_S = (0.0, 0.05, 0.2, 0.5)  # after the first, second, ... failure in a row
 
 
 class Channel:
-    """Polls for commands after `cursor`, and reconnects after every failure, until `leave` is called.
+    """Polls for commands after `cursor`, and reconnects after every failure, until `shut_down` is called.
 
     `on_commands` gets the commands of each response that are later than the cursor, which may be none.
     """
@@ -30,7 +30,7 @@
     role = "channel"
 
     def __init__(
-        self, address: str, cursor: int, on_commands: Callable[[list], None], clock: TurnReactor
+        self, address: str, cursor: int, on_commands: Callable[[list], None], clock: CachedClockReactor
     ) -> None:
         self.address = address
         self.cursor = cursor
@@ -47,7 +47,7 @@
         if not self.stopped:
             self.connector = connect(self, self.clock)
 
-    def made(self, stream: HttpStream) -> None:
+    def on_connected(self, stream: HttpStream) -> None:
         self.stream = stream
         self.poll()
 
@@ -56,16 +56,16 @@
         has not delivered come from the new one."""
         self.address, self.failures = address, 0
         if self.stream is not None:
-            self.stream.end("moved", at_once=True)
+            self.stream.close("moved", at_once=True)
         elif self.retry_timer is not None:
             self.retry_timer.reset(0)
         elif self.connector is not None:
             self.connector.stopConnecting()
 
     def poll(self) -> None:
-        self.stream.ask("GET", f"/cmd/next?resume={self.cursor}&block={POLL_MS}", POLL_TIMEOUT_S)
+        self.stream.request("GET", f"/cmd/next?resume={self.cursor}&block={POLL_MS}", POLL_TIMEOUT_S)
 
-    def answered(self, status: int, headers: dict[str, str], body: bytes) -> None:
+    def on_response(self, status: int, headers: dict[str, str], body: bytes) -> None:
         if status != 200:
             raise ValueError(f"status {status}")
         answer = json.loads(body)
@@ -79,27 +79,27 @@
     def accept(self, cursor: int, commands: list) -> None:
         """Passes on each command once, by its cursor; a repeated one is dropped."""
         new_commands = []
-        for item in commands:
+        for command in commands:
             try:
-                if int(item.get("cursor", cursor)) > self.cursor:
-                    new_commands.append(item)
+                if int(command.get("cursor", cursor)) > self.cursor:
+                    new_commands.append(command)
             except (ValueError, TypeError, AttributeError, OverflowError) as exc:
-                # Guards the other commands of the response against one that cannot be read: an error for the
-                # whole response would have it requested again for ever.
+                # One unreadable command must not block the others of the response: an error for the whole
+                # response would have it requested again indefinitely.
                 log(f"bad-event detail={f'{type(exc).__name__}: {exc}'[:160]!r}")
         self.cursor = max(self.cursor, cursor)
         self.on_commands(new_commands)
 
-    def leave(self) -> None:
+    def shut_down(self) -> None:
         """Stops polling for good and closes the connection."""
         self.stopped = True
         if self.stream is not None:
-            self.stream.end("leaving")
+            self.stream.close("leaving")
         elif self.retry_timer is not None:
             self.retry_timer.cancel()
             self.retry_timer = None
 
-    def lost(self) -> None:
+    def on_disconnected(self) -> None:
         self.stream = self.connector = None
         if self.stopped:
             return
--- a/chutefork/net/clock.py
+++ b/chutefork/net/clock.py
@@ -12,10 +12,10 @@
 
 
 class BoundedPort(tcp.Port):
-    """Listening port that accepts a bounded number of connections per event-loop iteration.
+    """Listening port that accepts a limited number of connections per event-loop iteration.
 
-    Guards against hundreds of connections at once, which would use up the file descriptors and delay the
-    connections already open. Those not accepted yet wait in the listen queue, where they use no descriptor.
+    Hundreds of connections accepted at once would use up the file descriptors and delay the connections
+    already open. Those not accepted yet wait in the listen queue, where they use no descriptor.
     """
 
     def doRead(self) -> None:  # noqa: N802 (Twisted's name)
@@ -23,7 +23,7 @@
         super().doRead()
 
 
-class TurnReactor(EPollReactor):
+class CachedClockReactor(EPollReactor):
     """Epoll reactor with a cached clock: every reading within one event-loop iteration is the same.
 
     The cached time is cleared before the loop waits for events, and read again at its first use after that.
@@ -55,14 +55,14 @@
         return listening_port
 
 
-def install() -> TurnReactor:
+def install() -> CachedClockReactor:
     """Makes a new reactor the global one of Twisted; fails if one is installed already."""
-    reactor = TurnReactor()
+    reactor = CachedClockReactor()
     main.installReactor(reactor)
     return reactor
 
 
-class UnixPlace:
+class UnixClock:
     """Converts Unix times to the monotonic clock. Creating one is the only reading of the Unix clock."""
 
     def __init__(self) -> None:
--- a/chutefork/net/connection.py
+++ b/chutefork/net/connection.py
@@ -48,28 +48,29 @@
     """Mixin that goes before one of Twisted's line or string receivers and passes input on to it.
 
     Subclasses set `clock` and may set `role` and `peer`, which identify the connection in its log line. Their
-    receiver callbacks count received messages in `taken`. `code` is why the connection ended (empty while it
-    is open); the first code given is kept. Times are microseconds on the monotonic clock: `made_at` is when
-    the connection was opened, `used_at` when it was last used: when data arrived, or as a subclass sets it.
+    receiver callbacks count received messages in `messages_received`. `end_code` is why the connection ended
+    (empty while it is open); the first code given is kept. Times are microseconds on the monotonic clock:
+    `opened_at` is when the connection was opened, `last_used_at` when it was last used: when data arrived, or
+    as a subclass sets it.
     """
 
     role = "connection"
     peer = "-"
-    code = ""
-    detail = ""
-    held = False  # the transport's buffer is full: nothing is written to it
+    end_code = ""
+    end_detail = ""
+    write_blocked = False  # the transport's buffer is full: nothing is written to it
     closed = False  # connectionLost has run
     processing_input = False  # process_input must not be entered again from a callback
     abort_timer = read_pause_timer = None
-    paused = False  # reading is suspended so that other connections get their turn (LineReceiver's own name)
-    taken = 0  # messages received
+    paused = False  # reading is suspended so that other connections are served (LineReceiver's own name)
+    messages_received = 0
     messages_sent = 0
 
     def connectionMade(self) -> None:  # noqa: N802
         self.input_buffer = RingBuffer(INPUT_BUFFER_BYTES)
         self.output_buffer = RingBuffer(OUTPUT_BUFFER_BYTES)
-        self.made_at = self.clock.now_us()
-        self.used_at = self.made_at
+        self.opened_at = self.clock.now_us()
+        self.last_used_at = self.opened_at
         address = self.transport.getPeer()
         if self.peer == "-":
             self.peer = f"{address.host}:{address.port}"
@@ -79,9 +80,9 @@
         super().connectionMade()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        self.used_at = self.clock.now_us()
+        self.last_used_at = self.clock.now_us()
         if not self.input_buffer.append(data):
-            self.end("in-overflow", at_once=True)
+            self.close("in-overflow", at_once=True)
             return
         self.process_input()
 
@@ -95,13 +96,13 @@
                 super().dataReceived(self.input_buffer.consume(IO_CHUNK_BYTES))
         finally:
             self.processing_input = False
-        if not self.code and not self.can_read():
+        if not self.end_code and not self.can_read():
             self.transport.pauseProducing()
 
     def can_read(self) -> bool:
-        return not self.paused and len(self.output_buffer) <= OUTPUT_HIGH_WATER_BYTES and not self.code
+        return not self.paused and len(self.output_buffer) <= OUTPUT_HIGH_WATER_BYTES and not self.end_code
 
-    def unread(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Whether input has arrived that is not processed yet. A set-up in it already counts as accepted, so
         such a connection is not closed to make room."""
         try:
@@ -112,14 +113,14 @@
     def pause_reading(self, seconds: float) -> None:
         """Suspends reading. Input received but not processed stays in the input buffer, later input stays in
         the sender's machine."""
-        if not self.paused and not self.code:
+        if not self.paused and not self.end_code:
             self.paused = True
             self.transport.pauseProducing()
             self.read_pause_timer = self.clock.callLater(seconds, self.resume_reading)
 
     def resume_reading(self) -> None:
         self.paused = False
-        if self.closed or self.code:
+        if self.closed or self.end_code:
             return
         self.processing_input = True
         try:
@@ -130,27 +131,27 @@
         if self.can_read():
             self.transport.resumeProducing()
 
-    def push(self, data: bytes) -> bool:
+    def send(self, data: bytes) -> bool:
         """Queues one message for sending. False if the connection has ended or ends now by overflow of the
         output buffer; True does not mean that the peer has received the message."""
-        if self.closed or self.code:
+        if self.closed or self.end_code:
             return False
         if not self.output_buffer.append(data):
-            self.end("out-overflow", at_once=True)
+            self.close("out-overflow", at_once=True)
             return False
         self.messages_sent += 1
         self.flush_output()
         return True
 
     def flush_output(self) -> None:
-        while len(self.output_buffer) and not self.held:
+        while len(self.output_buffer) and not self.write_blocked:
             self.transport.write(self.output_buffer.consume(IO_CHUNK_BYTES))
 
     def pauseProducing(self) -> None:  # noqa: N802 (the transport's buffer is full)
-        self.held = True
+        self.write_blocked = True
 
     def resumeProducing(self) -> None:  # noqa: N802
-        self.held = False
+        self.write_blocked = False
         self.flush_output()
         if self.can_read():
             self.process_input()
@@ -158,18 +159,18 @@
             self.transport.resumeProducing()
 
     def stopProducing(self) -> None:  # noqa: N802
-        self.held = True
+        self.write_blocked = True
 
-    def end(self, code: str, detail: str = "", at_once: bool = False) -> None:
+    def close(self, code: str, detail: str = "", at_once: bool = False) -> None:
         """Closes the connection; `code` and `detail` go into its log line. Queued output is sent first,
         within CLOSE_TIMEOUT_S, unless `at_once` aborts the connection. Does nothing if it has ended."""
-        if self.closed or self.code:
+        if self.closed or self.end_code:
             return
-        self.code, self.detail = code, detail
+        self.end_code, self.end_detail = code, detail
         if at_once:
             self.transport.abortConnection()
         else:
-            self.held = False
+            self.write_blocked = False
             self.flush_output()
             self.transport.unregisterProducer()
             self.transport.loseConnection()
@@ -182,20 +183,20 @@
         for timer in (self.abort_timer, self.read_pause_timer):
             if timer is not None and timer.active():
                 timer.cancel()
-        if not self.code:
+        if not self.end_code:
             if reason.check(error.ConnectionDone):
-                self.code = "peer-closed"
+                self.end_code = "peer-closed"
             elif reason.check(error.ConnectionLost):
-                self.code, self.detail = "peer-reset", str(reason.value)
+                self.end_code, self.end_detail = "peer-reset", str(reason.value)
             else:
-                self.code, self.detail = "io-error", repr(reason.value)
-        age_ms = (self.clock.now_us() - self.made_at) // 1000
-        detail_field = " detail=" + repr(self.detail[:160]) if self.detail else ""
+                self.end_code, self.end_detail = "io-error", repr(reason.value)
+        age_ms = (self.clock.now_us() - self.opened_at) // 1000
+        detail_field = " detail=" + repr(self.end_detail[:160]) if self.end_detail else ""
         log(
-            f"end role={self.role} peer={self.peer} code={self.code} age_ms={age_ms} in={self.taken}"
-            f" out={self.messages_sent}{detail_field}"
+            f"end role={self.role} peer={self.peer} code={self.end_code} age_ms={age_ms}"
+            f" in={self.messages_received} out={self.messages_sent}{detail_field}"
         )
-        self.lost()
+        self.on_closed()
 
-    def lost(self) -> None:
+    def on_closed(self) -> None:
         """Called once after the connection has closed; subclasses clean up what was open on it."""
--- a/chutefork/net/driver.py
+++ b/chutefork/net/driver.py
@@ -9,61 +9,61 @@
 
 from ..core import messages
 from ..core.reducer import State, reduce
-from .clock import TurnReactor
+from .clock import CachedClockReactor
 from .connection import log
 
 logger = Logger()
 
 
-class Front(Protocol):
+class Frontend(Protocol):
     """The side of the callers: sends them the results of their set-ups and the ends of their calls."""
 
     def answer(self, effect: messages.Answer) -> None: ...
     def refuse(self, effect: messages.Refuse) -> None: ...
     def fail(self, effect: messages.Fail) -> None: ...
-    def over(self, effect: messages.CallEnded) -> None: ...
+    def call_ended(self, effect: messages.CallEnded) -> None: ...
 
 
-class Legs(Protocol):
+class Backend(Protocol):
     """The side of the hubs: keeps the connections to them and sends set-ups and releases there."""
 
     def set_up(self, effect: messages.SetUp) -> None: ...
     def release(self, effect: messages.Release) -> None: ...
-    def reach(self, effect: messages.UpdateHubConnection) -> None: ...
+    def update_hub_connection(self, effect: messages.UpdateHubConnection) -> None: ...
 
 
 class Driver:
     """Runs the reducer: one event at a time, each event's effects carried out before the next event."""
 
-    def __init__(self, state: State, clock: TurnReactor) -> None:
+    def __init__(self, state: State, clock: CachedClockReactor) -> None:
         self.state = state
         self.clock = clock
         self.pending_events: deque[messages.Event] = deque()
         self.running = False
         self.wake_up_timer = None
 
-    def attach(self, front: Front, legs: Legs) -> None:
+    def attach(self, frontend: Frontend, backend: Backend) -> None:
         """Sets who carries out the effects; must be called before the first event."""
         self.handlers = {
-            messages.Answer: front.answer,
-            messages.Refuse: front.refuse,
-            messages.Fail: front.fail,
-            messages.CallEnded: front.over,
-            messages.SetUp: legs.set_up,
-            messages.Release: legs.release,
-            messages.UpdateHubConnection: legs.reach,
+            messages.Answer: frontend.answer,
+            messages.Refuse: frontend.refuse,
+            messages.Fail: frontend.fail,
+            messages.CallEnded: frontend.call_ended,
+            messages.SetUp: backend.set_up,
+            messages.Release: backend.release,
+            messages.UpdateHubConnection: backend.update_hub_connection,
             messages.WakeAt: self.wake_at,
             messages.LogMessage: lambda effect: log(f"note {effect.text}"),
         }
 
-    def later(self, event: messages.Event) -> None:
+    def post_later(self, event: messages.Event) -> None:
         """Processes an event. One that arises while an effect is carried out is queued until all effects of
         the present event are done; otherwise the event is processed before this returns."""
         self.pending_events.append(event)
         if not self.running:
             self.run()
 
-    tell = later
+    post = post_later
 
     def run(self) -> None:
         self.running = True
@@ -74,8 +74,8 @@
                     for effect in reduce(self.state, event, self.clock.now_us()):
                         self.handlers[type(effect)](effect)
                 except Exception:
-                    # Guards all other calls against an exception in one of them. That call still gets its
-                    # final answer, from the timer that was set when it was accepted.
+                    # An exception in one call must not affect the others. That call still gets its final
+                    # answer, from the timer that was set when it was accepted.
                     logger.failure("event {event!r}", event=type(event).__name__)
         finally:
             self.running = False
@@ -90,4 +90,4 @@
 
     def wake_up(self) -> None:
         self.wake_up_timer = None
-        self.tell(messages.WakeUpDue())
+        self.post(messages.WakeUpDue())
--- a/chutefork/net/exchanges.py
+++ b/chutefork/net/exchanges.py
@@ -16,8 +16,8 @@
 from .connection import CONTROL_CHARACTERS, MAX_MESSAGE_BYTES, Connection, log
 
 if TYPE_CHECKING:
-    from .callers import CallerFront
-    from .clock import TurnReactor
+    from .callers import CallerFrontend
+    from .clock import CachedClockReactor
     from .driver import Driver
 
 # Message types
@@ -61,6 +61,7 @@
 
 
 def encode_release(call: int) -> bytes:
+    """A release frame with the cause of a normal end, which abandons a set-up or ends an established call."""
     return encode_frame(RELEASE, call, [(CAUSE, bytes([NORMAL_CLEARING]))])
 
 
@@ -99,7 +100,7 @@
 
     def connectionMade(self) -> None:  # noqa: N802
         super().connectionMade()
-        self.last_received_at = self.made_at
+        self.last_received_at = self.opened_at
         self.link.connected(self)
 
     def is_silent(self, now: int) -> bool:
@@ -107,7 +108,9 @@
         pending on it or calls are established at the exchange. A set-up that was overdue already when the
         last frame came does not count: its answer alone is lost, which says nothing of the connection."""
         (min_us, max_us), doublings = SILENCE_LIMITS_US, min(self.link.consecutive_silences, 5)
-        gap_limit_us = round(self.mean_gap_us * SILENCE_GAPS) if self.taken > SILENCE_GAPS else max_us
+        gap_limit_us = (
+            round(self.mean_gap_us * SILENCE_GAPS) if self.messages_received > SILENCE_GAPS else max_us
+        )
         gap_limit_us = min(max(gap_limit_us, min_us), max_us)
         limit_us = (min(self.link.answer_timeout_us(), max_us) or gap_limit_us) << doublings
         waiting_since = next(
@@ -118,7 +121,7 @@
             ),
             None,
         )
-        if waiting_since is None and not self.link.legs.has_established_calls(self.link.hub.name):
+        if waiting_since is None and not self.link.backend.has_established_calls(self.link.hub.name):
             return False
         if waiting_since is None:
             waiting_since, limit_us = 0, gap_limit_us << doublings
@@ -129,22 +132,22 @@
         self.link.flush()
 
     def stringReceived(self, string: bytes) -> None:  # noqa: N802
-        if self.code:
+        if self.end_code:
             return
-        self.taken += 1
+        self.messages_received += 1
         now = self.clock.now_us()
-        self.mean_gap_us += (now - self.last_received_at - self.mean_gap_us) / min(self.taken, 50)
+        self.mean_gap_us += (now - self.last_received_at - self.mean_gap_us) / min(self.messages_received, 50)
         self.last_received_at = self.link.last_received_at = now
         try:
             kind, call, parameters = decode_frame(string)
             self.link.frame_received(kind, call, parameters)
         except (ValueError, OverflowError, struct.error) as exc:
-            self.end("bad-frame", str(exc))
+            self.close("bad-frame", str(exc))
 
     def lengthLimitExceeded(self, length: int) -> None:  # noqa: N802
-        self.end("long-frame", f"{length} bytes")
+        self.close("long-frame", f"{length} bytes")
 
-    def lost(self) -> None:
+    def on_closed(self) -> None:
         self.link.connection_lost(self)
 
 
@@ -164,9 +167,9 @@
 class ExchangeLink:
     """One exchange: its connection, the set-ups pending there, and what waits to be sent to it."""
 
-    def __init__(self, legs: ExchangeLegs, hub: messages.Hub) -> None:
-        self.legs = legs
-        self.clock = legs.clock
+    def __init__(self, backend: ExchangeBackend, hub: messages.Hub) -> None:
+        self.backend = backend
+        self.clock = backend.clock
         self.hub = hub
         self.accepts_setups = True
         self.keep_connection = True
@@ -188,23 +191,23 @@
         host, _, port = self.hub.address.rpartition(":")
         self.connecting = True
         self.address = self.hub.address
-        self.clock.connectTCP(host, int(port), _LinkFactory(self), timeout=self.legs.connect_timeout_s)
+        self.clock.connectTCP(host, int(port), _LinkFactory(self), timeout=self.backend.connect_timeout_s)
 
     def connected(self, connection: ExchangeProtocol) -> None:
         self.connecting, self.failed_connects, self.connection = False, 0, connection
-        self.legs.check_all_tried()
+        self.backend.check_all_tried()
         if not self.keep_connection or self.address != self.hub.address:
-            connection.end("let-go")
+            connection.close("let-go")
             return
         for data in self.queued_releases:
-            connection.push(data)
+            connection.send(data)
         self.queued_releases.clear()
         self.flush()
 
     def flush(self) -> None:
         """Sends queued set-ups while the connection accepts output. They wait here, not in the connection's
         output buffer, so that they can still be taken back when the exchange drains."""
-        while self.queued_setups and self.connection is not None and not self.connection.held:
+        while self.queued_setups and self.connection is not None and not self.connection.write_blocked:
             call = next(iter(self.queued_setups))
             self.send(*self.queued_setups.pop(call))
 
@@ -219,18 +222,18 @@
                 f" code={'refused' if refused else 'unreached'} age_ms=0 in=0 out=0"
             )
         self.failed_connects += 1
-        self.legs.check_all_tried()
+        self.backend.check_all_tried()
         unsent, self.queued_setups = self.queued_setups, {}
         if self.keep_connection and self.connection is None:
             delay_us = RETRY_DELAYS_US[min(self.failed_connects, len(RETRY_DELAYS_US)) - 1]
             self.retry_timer = self.clock.callLater(delay_us / 1e6, self.connect)
         for call in unsent:
-            self.legs.driver.tell(messages.AttemptEnded(call, self.hub.name, Outcome.UNREACHABLE))
+            self.backend.driver.post(messages.AttemptEnded(call, self.hub.name, Outcome.UNREACHABLE))
         is_down = refused or self.clock.now_us() - self.last_received_at > HUB_DOWN_AFTER_US
         if refused:
             self.queued_releases.clear()  # a process that is not there holds no calls
         if is_down:  # the exchange cannot report the ends of its calls, so their callers get them from here
-            self.legs.driver.tell(messages.HubDown(self.hub.name))
+            self.backend.driver.post(messages.HubDown(self.hub.name))
 
     def connection_lost(self, connection: ExchangeProtocol) -> None:
         if self.connection is connection:
@@ -241,19 +244,21 @@
         # One broken connection says nothing of the exchange. If the next one is silent too, the exchange
         # itself does not answer.
         outcome = (
-            Outcome.TIMEOUT if connection.code == "silent" and self.consecutive_silences > 1 else Outcome.CUT
+            Outcome.TIMEOUT
+            if connection.end_code == "silent" and self.consecutive_silences > 1
+            else Outcome.CUT
         )
         for call in pending:
-            # Guards against a call that is established at the exchange although its answer was corrupted or
-            # lost on the way.
+            # The call may be established at the exchange although its answer was corrupted or lost on the
+            # way; without a release it would stay up there.
             self.queue_release(encode_release(call))
-            self.legs.driver.tell(messages.AttemptEnded(call, self.hub.name, outcome))
+            self.backend.driver.post(messages.AttemptEnded(call, self.hub.name, outcome))
 
     def check_silence(self, now: int) -> None:
-        """Guards against a connection that stays open but no longer works: a frame was cut short on it, or
-        the machine is gone. It is closed, which ends its pending set-ups at once, and the next connection
-        shows whether the exchange is there. It must be silent at two checks in a row, so that frames that
-        have arrived in the meantime are read first."""
+        """Closes a connection that stays open but no longer works: a frame was cut short on it, or the
+        machine is gone. This ends its pending set-ups at once, and the next connection shows whether the
+        exchange is there. It must be silent at two checks in a row, so that frames that have arrived in the
+        meantime are read first."""
         connection = self.connection
         if connection is None or not self.accepts_setups:
             # A draining exchange sends few frames, and accepts no new connection for the calls it still has.
@@ -265,7 +270,7 @@
                 (now - connection.last_received_at) // 1000,
                 self.answer_timeout_us() // 1000,
             )
-            connection.end(
+            connection.close(
                 "silent",
                 f"for {silence_ms} ms, {len(connection.pending_setups)} set-ups open, answer timeout"
                 f" {timeout_ms} ms",
@@ -277,16 +282,16 @@
             self.retry_timer.cancel()
             self.retry_timer = None
         if self.connection is not None:
-            self.connection.end(code)
+            self.connection.close(code)
 
     def renew_if_idle(self) -> None:
-        """Closes a connection that the exchange may soon close as idle. Guards against a set-up that crosses
-        the exchange's close: it would be reset, and the call held back for the release time."""
+        """Closes a connection that the exchange may soon close as idle. A set-up that crosses the
+        exchange's close would be reset, and the call held back for the release time."""
         old = self.connection
         idle_us = self.clock.now_us() - max(old.last_received_at, old.last_setup_at)
-        if idle_us > MAX_IDLE_SHARE * self.legs.idle_close_s * 1e6 and not old.pending_setups:
+        if idle_us > MAX_IDLE_SHARE * self.backend.idle_close_s * 1e6 and not old.pending_setups:
             self.connection = None
-            old.end("renewed")
+            old.close("renewed")
 
     def set_up(self, effect: messages.SetUp) -> None:
         self.queued_setups[effect.call] = effect, self.clock.now_us()
@@ -302,7 +307,7 @@
 
     def send(self, effect: messages.SetUp, queued_at: int) -> None:
         remaining_us = effect.timeout_us - (self.clock.now_us() - queued_at)
-        class_name, number, description = self.legs.front.setup_texts.get(effect.call, ("", "", ""))
+        class_name, number, description = self.backend.frontend.setup_texts.get(effect.call, ("", "", ""))
         data = encode_frame(
             SETUP,
             effect.call,
@@ -313,8 +318,10 @@
                 (DESCRIPTION, description.encode()),
             ],
         )
-        if self.connection is None or not self.connection.push(data):
-            self.legs.driver.later(messages.AttemptEnded(effect.call, self.hub.name, Outcome.NOT_SENT))
+        if self.connection is None or not self.connection.send(data):
+            self.backend.driver.post_later(
+                messages.AttemptEnded(effect.call, self.hub.name, Outcome.NOT_SENT)
+            )
             return
         self.connection.last_setup_at = self.connection.pending_setups[effect.call] = self.clock.now_us()
 
@@ -322,7 +329,7 @@
         if self.queued_setups.pop(effect.call, None) is not None:
             return
         data = encode_release(effect.call)
-        if self.connection is None or not self.connection.push(data):
+        if self.connection is None or not self.connection.send(data):
             self.queue_release(data)
         if self.connection is not None:
             self.connection.pending_setups.pop(effect.call, None)
@@ -356,15 +363,15 @@
     def frame_received(self, kind: int, call: int, parameters: dict[int, bytes]) -> None:
         """Passes a frame on to the core as an event. ValueError if it cannot be used; its connection is then
         closed."""
-        post, name = self.legs.driver.tell, self.hub.name
+        post, name = self.backend.driver.post, self.hub.name
         if kind == ANSWER:
             if call not in self.connection.pending_setups:
-                # Guards the connection, and all set-ups pending on it, against surplus answers: duplicates,
-                # late ones, ones with an id that was never sent. Whatever their content, they are dropped.
+                # Surplus answers (duplicates, late ones, ones with an id that was never sent) must not close
+                # the connection, with all set-ups pending on it. Whatever their content, they are dropped.
                 post(messages.UnmatchedAnswer(call, name))
                 return
             description = parameters.get(DESCRIPTION, b"").decode("utf-8")
-            # Guards callers against a corrupted answer.
+            # Keeps a corrupted answer from the callers.
             if not description or CONTROL_CHARACTERS.search(description):
                 raise ValueError("answer with an empty description or with control characters")
             self.setup_completed(call, answered=True)
@@ -394,48 +401,48 @@
                     raise ValueError(f"group state out of range: {text[:40]!r}")
                 post(messages.GroupStateReported(name, free, total))
         elif kind not in IGNORED_TYPES:
-            # Guards against a corrupted frame being ignored as an unknown message type: on connections with
-            # such frames no valid one followed.
+            # A corrupted frame must not be ignored as an unknown message type: on connections with such
+            # frames no valid one followed.
             raise ValueError(f"unknown message type {kind}")
 
 
-class ExchangeLegs:
+class ExchangeBackend:
     """The links to all exchanges of the list; carries out the core's effects towards them."""
 
     def __init__(
         self,
         driver: Driver,
-        front: CallerFront,
-        clock: TurnReactor,
+        frontend: CallerFrontend,
+        clock: CachedClockReactor,
         connect_timeout_s: float,
         idle_close_s: float,
     ) -> None:
         self.driver = driver
-        self.front = front
+        self.frontend = frontend
         self.clock = clock
         self.connect_timeout_s = connect_timeout_s
         self.idle_close_s = idle_close_s
         self.links: dict[str, ExchangeLink] = {}
         # called once, when every link has been connected or has failed to
-        self.all_tried: Callable[[], None] | None = None
+        self.on_all_tried: Callable[[], None] | None = None
 
-    def watch(self) -> None:
+    def check_silences(self) -> None:
         """Checks all links for silence, now and at every SILENCE_CHECK_INTERVAL_S from now on."""
         for link in list(self.links.values()):
             link.check_silence(self.clock.now_us())
-        self.clock.callLater(SILENCE_CHECK_INTERVAL_S, self.watch)
+        self.clock.callLater(SILENCE_CHECK_INTERVAL_S, self.check_silences)
 
     def has_established_calls(self, hub: str) -> bool:
         entry = self.driver.state.hubs.get(hub)
         return entry is not None and bool(entry.established_calls)
 
     def check_all_tried(self) -> None:
-        untried = any(item.connection is None and not item.failed_connects for item in self.links.values())
-        if self.links and not untried and self.all_tried is not None:
-            self.all_tried()
-            self.all_tried = None
+        untried = any(link.connection is None and not link.failed_connects for link in self.links.values())
+        if self.links and not untried and self.on_all_tried is not None:
+            self.on_all_tried()
+            self.on_all_tried = None
 
-    def reach(self, effect: messages.UpdateHubConnection) -> None:
+    def update_hub_connection(self, effect: messages.UpdateHubConnection) -> None:
         """Connects to an exchange, follows a change of its address, or disconnects from it."""
         link = self.links.get(effect.hub.name)
         if link is None:
@@ -449,12 +456,12 @@
             effect.accepts_setups,
         )
         if moved and link.connection is not None:
-            link.connection.end("moved")
+            link.connection.close("moved")
             link.connection = None
         if not effect.accepts_setups:
             unsent, link.queued_setups = link.queued_setups, {}
-            for call in unsent:  # guards the drain: once connected, these would still be sent to the exchange
-                self.driver.later(messages.AttemptEnded(call, link.hub.name, Outcome.NOT_SENT))
+            for call in unsent:  # once connected, these would still be sent to the draining exchange
+                self.driver.post_later(messages.AttemptEnded(call, link.hub.name, Outcome.NOT_SENT))
         if effect.keep_connection:
             if link.retry_timer is None:
                 link.connect()
@@ -462,7 +469,7 @@
         del self.links[effect.hub.name]
         link.disconnect("let-go")
 
-    def leave(self) -> None:
+    def shut_down(self) -> None:
         """Closes the connections to all exchanges for good."""
         for link in self.links.values():
             link.keep_connection = False
@@ -472,7 +479,7 @@
     def set_up(self, effect: messages.SetUp) -> None:
         link = self.links.get(effect.hub)
         if link is None or not link.accepts_setups:
-            self.driver.later(messages.AttemptEnded(effect.call, effect.hub, Outcome.NOT_SENT))
+            self.driver.post_later(messages.AttemptEnded(effect.call, effect.hub, Outcome.NOT_SENT))
         else:
             link.set_up(effect)
 
--- a/chutefork/net/http.py
+++ b/chutefork/net/http.py
@@ -14,25 +14,25 @@
     from twisted.internet.interfaces import IConnector
     from twisted.python.failure import Failure
 
-    from .clock import TurnReactor
+    from .clock import CachedClockReactor
 
 MAX_BODY_BYTES = 4 * 1024 * 1024
 
 
 class Requester(Protocol):
-    """The user of a connection, whose `address` is `host:port`. `made` is called when the connection is open,
-    `answered` for each response, `lost` when the connection has closed or could not be made.
+    """The user of a connection, whose `address` is `host:port`. `on_connected` is called when the connection
+    is open, `on_response` for each response, `on_disconnected` when it has closed or could not be made.
 
-    `answered` may raise ValueError, KeyError, TypeError, AttributeError, OverflowError or RecursionError
+    `on_response` may raise ValueError, KeyError, TypeError, AttributeError, OverflowError or RecursionError
     where the response is not usable; the connection is then closed with the code `bad-answer`.
     """
 
     address: str
     role: str
 
-    def made(self, stream: HttpStream) -> None: ...
-    def answered(self, status: int, headers: dict[str, str], body: bytes) -> None: ...
-    def lost(self) -> None: ...
+    def on_connected(self, stream: HttpStream) -> None: ...
+    def on_response(self, status: int, headers: dict[str, str], body: bytes) -> None: ...
+    def on_disconnected(self) -> None: ...
 
 
 class HttpStream(Connection, LineReceiver):
@@ -41,7 +41,7 @@
     delimiter = b"\r\n"
     MAX_LENGTH = MAX_MESSAGE_BYTES
 
-    def __init__(self, requester: Requester, clock: TurnReactor) -> None:
+    def __init__(self, requester: Requester, clock: CachedClockReactor) -> None:
         self.requester = requester
         self.clock = clock
         self.role = requester.role
@@ -51,9 +51,9 @@
 
     def connectionMade(self) -> None:  # noqa: N802
         super().connectionMade()
-        self.requester.made(self)
+        self.requester.on_connected(self)
 
-    def ask(
+    def request(
         self,
         method: str,
         path: str,
@@ -74,14 +74,14 @@
         ]
         if body or method != "GET":
             lines.append(f"Content-Length: {len(body)}")
-        self.response_timer = self.clock.callLater(timeout_s, self.end, "silent", at_once=True)
-        self.push("\r\n".join([*lines, "", ""]).encode() + body)
+        self.response_timer = self.clock.callLater(timeout_s, self.close, "silent", at_once=True)
+        self.send("\r\n".join([*lines, "", ""]).encode() + body)
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
         if self.state == "status":
             fields = line.split(b" ")
             if len(fields) < 2 or not fields[0].startswith(b"HTTP/1.") or not fields[1].isdigit():
-                self.end("bad-answer", repr(line[:80]))
+                self.close("bad-answer", repr(line[:80]))
                 return
             self.status, self.state = int(fields[1]), "headers"
         elif self.state == "headers" and line:
@@ -93,13 +93,13 @@
             try:
                 self.start_part(int(line.split(b";")[0], 16))
             except ValueError:
-                self.end("bad-answer", "invalid chunk size")
+                self.close("bad-answer", "invalid chunk size")
         elif self.state == "chunk-end":
             self.state = "chunk-size"
         elif self.state == "trailer" and not line:
             self.response_complete()
         elif self.state == "idle":
-            self.end("bad-answer", "data without a request")
+            self.close("bad-answer", "data without a request")
 
     def headers_complete(self) -> None:
         length = self.headers.get("content-length", "")
@@ -112,13 +112,13 @@
         elif length == "0" or self.status in (204, 304):
             self.response_complete()
         else:
-            self.end("bad-answer", "response without a length")
+            self.close("bad-answer", "response without a length")
 
     def start_part(self, size: int) -> None:
         """Begins a chunk, or the whole of a body with a length; size 0 is the last chunk."""
         self.body_size += size
         if size < 0 or self.body_size > MAX_BODY_BYTES:
-            self.end("bad-answer", "body too large")
+            self.close("bad-answer", "body too large")
         elif size:
             self.part_remaining = size
             self.setRawMode()
@@ -135,39 +135,39 @@
             self.state = "chunk-end"
         else:
             self.response_complete()
-        if not self.code:
+        if not self.end_code:
             self.setLineMode(rest)
 
     def lineLengthExceeded(self, line: bytes) -> None:  # noqa: N802
-        self.end("long-line", f"over {MAX_MESSAGE_BYTES} bytes")
+        self.close("long-line", f"over {MAX_MESSAGE_BYTES} bytes")
 
     def response_complete(self) -> None:
-        self.taken += 1
+        self.messages_received += 1
         self.cancel_response_timer()
         self.state = "idle"
         closing = self.headers.get("connection", "").lower() == "close"
         try:
-            self.requester.answered(self.status, self.headers, b"".join(self.body_parts))
+            self.requester.on_response(self.status, self.headers, b"".join(self.body_parts))
         except (ValueError, KeyError, TypeError, AttributeError, OverflowError, RecursionError) as exc:
-            self.end("bad-answer", f"{type(exc).__name__}: {exc}")
+            self.close("bad-answer", f"{type(exc).__name__}: {exc}")
             return
-        if closing and not self.code:
-            self.end("asked-to-close")
+        if closing and not self.end_code:
+            self.close("asked-to-close")
 
     def cancel_response_timer(self) -> None:
         if self.response_timer is not None and self.response_timer.active():
             self.response_timer.cancel()
         self.response_timer = None
 
-    def lost(self) -> None:
+    def on_closed(self) -> None:
         self.cancel_response_timer()
-        self.requester.lost()
+        self.requester.on_disconnected()
 
 
 class _StreamFactory(ClientFactory):
     noisy = False
 
-    def __init__(self, requester: Requester, clock: TurnReactor) -> None:
+    def __init__(self, requester: Requester, clock: CachedClockReactor) -> None:
         self.requester = requester
         self.clock = clock
 
@@ -177,10 +177,10 @@
     def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:  # noqa: N802
         peer, code = connector.getDestination(), "moved" if reason.check(error.UserError) else "unreached"
         log(f"end role={self.requester.role} peer={peer.host}:{peer.port} code={code} age_ms=0 in=0 out=0")
-        self.requester.lost()
+        self.requester.on_disconnected()
 
 
-def connect(requester: Requester, clock: TurnReactor, timeout_s: float = 1.0) -> IConnector:
-    """Opens a connection to the requester's address; its `made` or its `lost` is called later."""
+def connect(requester: Requester, clock: CachedClockReactor, timeout_s: float = 1.0) -> IConnector:
+    """Opens a connection to the requester's address; `on_connected` or `on_disconnected` is called later."""
     host, _, port = requester.address.rpartition(":")
     return clock.connectTCP(host, int(port), _StreamFactory(requester, clock), timeout=timeout_s)
--- a/chutefork/simulator_adapter.py
+++ b/chutefork/simulator_adapter.py
@@ -412,6 +412,7 @@
 
 
 def encode_action(instance_id: int, action: api.Action) -> bytes:
+    """The output record for an action of the controller. Raises TypeError for an unknown action."""
     if isinstance(action, api.SetUp):  # submit_to
         return SUBMIT_TO.pack(80, instance_id, action.call, action.switch, action.abandon_at_s)
     if isinstance(action, api.Refuse):  # shed
@@ -459,6 +460,7 @@
 
 
 def main() -> int:
+    """Serves standard input. Exit code 0: end of input; 1, with a line on standard error: malformed input."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except ProtocolError as error:
--- a/chutefork/sip/agent.py
+++ b/chutefork/sip/agent.py
@@ -1,4 +1,4 @@
-"""The user agent that front and legs share: one transport, one transaction layer, one table of dialogs."""
+"""The user agent shared by frontend and backend: a transport, a transaction layer, a table of dialogs."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from .transport import SipTransport, Target
 
 if TYPE_CHECKING:
-    from ..net.clock import TurnReactor
+    from ..net.clock import CachedClockReactor
 
 
 class DialogOwner(Protocol):
@@ -22,14 +22,16 @@
 
 
 class SipAgent:
-    """Answers requests, passes those that concern a call to the front or the legs, and sends requests.
+    """Answers requests, passes those that concern a call to the frontend or the backend, and sends requests.
 
     `on_invite` is called with the transaction of each INVITE outside a dialog, `on_cancel` with that of an
     INVITE that was cancelled before its final response, `on_early_bye` with each BYE that matches no dialog.
     It returns whether the BYE ended a call that had no final response yet.
     """
 
-    def __init__(self, transport: SipTransport, clock: TurnReactor, timing: Timing, advertise: str) -> None:
+    def __init__(
+        self, transport: SipTransport, clock: CachedClockReactor, timing: Timing, advertise: str
+    ) -> None:
         self.transport = transport
         self.clock = clock
         self.timing = timing
--- a/chutefork/sip/legs.py
+++ b/chutefork/sip/backend.py
@@ -11,7 +11,7 @@
 from . import message as sip
 from .agent import SipAgent
 from .dialog import Dialog, tcp_if_too_large
-from .front import TRANSIT_HEADER, SipFront
+from .frontend import TRANSIT_HEADER, SipFrontend
 from .transactions import InviteClientTransaction
 from .transport import Target
 
@@ -43,9 +43,9 @@
 class Leg:
     """One attempt. `active` while the core waits for its outcome or has its call established."""
 
-    def __init__(self, legs: SipLegs, effect: messages.SetUp, hub: messages.Hub) -> None:
-        self.legs = legs
-        self.agent = legs.agent
+    def __init__(self, backend: SipBackend, effect: messages.SetUp, hub: messages.Hub) -> None:
+        self.backend = backend
+        self.agent = backend.agent
         self.call = effect.call
         self.hub = hub.name
         self.number = hub.number
@@ -56,7 +56,7 @@
         self.dialogs: dict[str, Dialog] = {}  # by remote tag: a forked INVITE can get several 2xx
         self.acks: dict[str, tuple[bytes, Target]] = {}  # by remote tag
         self.trying_timer = None
-        call_request = legs.front.unanswered[effect.call].call_request
+        call_request = backend.frontend.unanswered[effect.call].call_request
         self.via_tandem = hub.number != call_request.destination
         self.delayed_offer = not call_request.body
         address, _, transport = hub.address.partition(";")
@@ -79,14 +79,14 @@
         request.headers.set("Allow", sip.ALLOW)
         request.headers.set("Expires", str(max(math.ceil(effect.timeout_us / 1e6), 1)))
         if self.via_tandem:
-            request.headers.set(TRANSIT_HEADER, str(legs.config.settings.own_number))
+            request.headers.set(TRANSIT_HEADER, str(backend.config.settings.own_number))
         sip.set_body(request, call_request.body)
         self.target = tcp_if_too_large(request, target)
         self.invite: InviteClientTransaction | None = None
         self.request = request
 
     def start(self) -> None:
-        self.trying_timer = self.agent.clock.callLater(self.legs.config.trying_s, self.trying_timeout)
+        self.trying_timer = self.agent.clock.callLater(self.backend.config.trying_s, self.trying_timeout)
         self.invite = self.agent.send_request(self.request, self.target, self.handle_response, self.failed)
 
     def stop_trying_timer(self) -> None:
@@ -107,8 +107,10 @@
         self.stop_trying_timer()
         if self.active:
             self.active = False
-            self.legs.remove(self)
-            self.legs.driver.tell(messages.AttemptEnded(self.call, self.hub, outcome, reason, retry_after_us))
+            self.backend.remove(self)
+            self.backend.driver.post(
+                messages.AttemptEnded(self.call, self.hub, outcome, reason, retry_after_us)
+            )
 
     def failed(self, reason: str) -> None:
         self.finish(Outcome.TIMEOUT if reason == "timeout" else Outcome.UNREACHABLE)
@@ -120,7 +122,7 @@
             if self.cancel_pending:
                 self.send_cancel()
             elif response.code > 100:
-                self.legs.front.call_progress(self.call)
+                self.backend.frontend.call_progress(self.call)
         elif response.code < 300:
             self.answered(response)
         else:
@@ -150,7 +152,7 @@
             if not self.delayed_offer:
                 self.send_ack(dialog)
             body = response.body.decode("utf-8", "surrogateescape")
-            self.legs.driver.tell(messages.CallEstablished(self.call, self.hub, body))
+            self.backend.driver.post(messages.CallEstablished(self.call, self.hub, body))
         else:  # the attempt was abandoned, or this is another branch of a fork: end the dialog
             self.send_ack(dialog)
             self.agent.send_bye(dialog)
@@ -166,7 +168,7 @@
         """Ends the attempt, or its call, towards the hub, without a report to the core."""
         self.stop_trying_timer()
         self.active = False
-        self.legs.remove(self)
+        self.backend.remove(self)
         for tag, dialog in self.dialogs.items():
             if tag not in self.acks:
                 self.send_ack(dialog)
@@ -196,14 +198,14 @@
         """Never called: hubs send no INVITE."""
 
 
-class SipLegs:
+class SipBackend:
     """All attempts, and the hubs that calls may be sent to."""
 
     def __init__(self, driver: Driver, agent: SipAgent, config: SipConfig) -> None:
         self.driver = driver
         self.agent = agent
         self.config = config
-        self.front: SipFront
+        self.frontend: SipFrontend
         self.hubs: dict[str, tuple[messages.Hub, bool]] = {}  # by name; whether it accepts set-ups
         self.by_call: dict[int, Leg] = {}
 
@@ -213,8 +215,8 @@
 
     def set_up(self, effect: messages.SetUp) -> None:
         hub, accepts_setups = self.hubs.get(effect.hub, (None, False))
-        if hub is None or not accepts_setups or effect.call not in self.front.unanswered:
-            self.driver.later(messages.AttemptEnded(effect.call, effect.hub, Outcome.NOT_SENT))
+        if hub is None or not accepts_setups or effect.call not in self.frontend.unanswered:
+            self.driver.post_later(messages.AttemptEnded(effect.call, effect.hub, Outcome.NOT_SENT))
             return
         leg = self.by_call[effect.call] = Leg(self, effect, hub)
         leg.start()
@@ -232,7 +234,7 @@
                 if tag not in leg.acks:
                     leg.send_ack(dialog, body)
 
-    def reach(self, effect: messages.UpdateHubConnection) -> None:
+    def update_hub_connection(self, effect: messages.UpdateHubConnection) -> None:
         """Updates a hub.
 
         If it accepts no more set-ups, INVITEs without a response are withdrawn if still queued, else they are
--- a/chutefork/sip/dialog.py
+++ b/chutefork/sip/dialog.py
@@ -56,7 +56,7 @@
             local_tag,
             sip.tag_of(request.from_address),
             remote_target,
-            [str(item) for item in request.record_route],
+            [str(route) for route in request.record_route],
             0,
             source,
         )
@@ -75,7 +75,7 @@
             sip.tag_of(request.from_address),
             sip.tag_of(response.to_address),
             remote_target,
-            [str(item) for item in reversed(response.record_route)],
+            [str(route) for route in reversed(response.record_route)],
             request.cseq.sequence,
             source,
         )
--- a/chutefork/sip/front.py
+++ b/chutefork/sip/frontend.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from ..net.driver import Driver
-    from .legs import SipLegs
+    from .backend import SipBackend
     from .settings import SipConfig
 
 STATUS_CODES = {
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True, eq=False)
 class CallRequest:
-    """What the legs need to know of a call to send it to a hub."""
+    """What the backend needs to know of a call to send it to a hub."""
 
     number: str
     body: bytes
@@ -44,10 +44,10 @@
     """A caller's INVITE and, once the call is answered, its dialog."""
 
     def __init__(
-        self, front: SipFront, call: int, server: ServerTransaction, call_request: CallRequest
+        self, frontend: SipFrontend, call: int, server: ServerTransaction, call_request: CallRequest
     ) -> None:
-        self.front = front
-        self.agent = front.agent
+        self.frontend = frontend
+        self.agent = frontend.agent
         self.call = call
         self.server = server
         self.call_request = call_request
@@ -100,7 +100,7 @@
             return
         self.confirmed = True
         self.stop_timers()
-        self.front.legs.caller_ack_received(self.call, request.body)
+        self.frontend.backend.caller_ack_received(self.call, request.body)
         if self.ended:
             self.agent.send_bye(self.dialog)
 
@@ -111,14 +111,14 @@
     def bye_received(self) -> None:
         self.stop_timers()
         if not self.ended:
-            self.front.call_ended(self)
+            self.frontend.report_call_end(self)
 
     def hang_up(self) -> None:
         """Ends the call on both sides."""
         self.stop_timers()
         self.ended = self.confirmed = True
         self.agent.send_bye(self.dialog)
-        self.front.call_ended(self)
+        self.frontend.report_call_end(self)
 
     def end(self) -> None:
         """Ends the caller's side after the hub's; the BYE must wait for the caller's ACK (RFC 3261 15)."""
@@ -127,14 +127,14 @@
             self.agent.send_bye(self.dialog)
 
 
-class SipFront:
+class SipFrontend:
     """All calls of callers, from the INVITE to the end of the dialog."""
 
-    def __init__(self, driver: Driver, agent: SipAgent, config: SipConfig, legs: SipLegs) -> None:
+    def __init__(self, driver: Driver, agent: SipAgent, config: SipConfig, backend: SipBackend) -> None:
         self.driver = driver
         self.agent = agent
         self.config = config
-        self.legs = legs
+        self.backend = backend
         self.unanswered: dict[int, SipCall] = {}
         self.established: dict[int, SipCall] = {}
         self.by_transaction: dict[ServerTransaction, int] = {}
@@ -171,7 +171,9 @@
             self.agent.respond(server, 404)
             return
         if len(self.invites) > 4096:  # forget terminated transactions
-            self.invites = {key: item for key, item in self.invites.items() if item.state != "terminated"}
+            self.invites = {
+                key: invite for key, invite in self.invites.items() if invite.state != "terminated"
+            }
         self.invites[merge_key] = server
         self.agent.respond(server, 100)
         self.last_call += 1
@@ -188,7 +190,7 @@
         digits = "".join(char for char in number if char.isdigit())[-18:]
         transit_value = request.headers.get(TRANSIT_HEADER, "")
         in_transit = server.source.host in self.config.peers and transit_value.isdigit()
-        self.driver.tell(
+        self.driver.post(
             messages.Arrival(
                 call,
                 route.class_index,
@@ -212,7 +214,7 @@
         sip_call = self.pop_unanswered(call)
         if sip_call is not None:
             sip_call.server.respond(sip.response_to(sip_call.server.request, 487, sip_call.tag))
-            self.driver.tell(messages.Withdrawn(call))
+            self.driver.post(messages.Withdrawn(call))
 
     def early_bye_received(self, request: sip.Request) -> bool:
         """A caller may also give up with a BYE in the early dialog; True if a call was ended."""
@@ -238,10 +240,10 @@
         if call in self.unanswered:
             self.unanswered[call].send_ringing()
 
-    def call_ended(self, sip_call: SipCall) -> None:
+    def report_call_end(self, sip_call: SipCall) -> None:
         """Reports the end of an established call to the core."""
         if self.established.pop(sip_call.call, None) is not None:
-            self.driver.tell(messages.Withdrawn(sip_call.call))
+            self.driver.post(messages.Withdrawn(sip_call.call))
 
     # ---- effects of the core
 
@@ -268,7 +270,7 @@
                 sip.response_to(sip_call.server.request, code, sip_call.tag, extra_headers=extra_headers)
             )
 
-    def over(self, effect: messages.CallEnded) -> None:
+    def call_ended(self, effect: messages.CallEnded) -> None:
         sip_call = self.established.pop(effect.call, None)
         if sip_call is not None:
             sip_call.end()
--- a/chutefork/sip/settings.py
+++ b/chutefork/sip/settings.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from secrets import randbits
 
-from ..config import ConfigError, Node, address_of, settings_of
+from ..config import ConfigError, ConfigSection, parse_address, parse_settings
 from ..interface import Settings
 
 
@@ -51,37 +51,37 @@
 
     def route(self, number: str) -> Route | None:
         """The route with the longest matching prefix; None if no route matches."""
-        matching = [item for item in self.routes if number.startswith(item.prefix)]
-        return max(matching, key=lambda item: len(item.prefix), default=None)
+        matching = [route for route in self.routes if number.startswith(route.prefix)]
+        return max(matching, key=lambda route: len(route.prefix), default=None)
 
 
 def load(path: Path) -> SipConfig | None:
     """Reads and validates the file; None if there is none or `enabled` is false. Raises ConfigError."""
     try:
-        root = Node(tomllib.loads(path.read_text(encoding="utf-8")))
+        root = ConfigSection(tomllib.loads(path.read_text(encoding="utf-8")))
     except FileNotFoundError:
         return None
     except (OSError, ValueError) as exc:
         raise ConfigError(f"{path}: {exc}") from None
     if not root.flag("enabled"):
         return None
-    settings_node = root.node("settings")
-    settings, classes, tenants = settings_of(settings_node, randbits(64))
+    settings_section = root.section("settings")
+    settings, classes, tenants = parse_settings(settings_section, randbits(64))
     routes = []
-    for route_node in root.nodes("routes"):
+    for route_section in root.sections("routes"):
         prefix, class_name, tenant = (
-            route_node.text("prefix"),
-            route_node.text("class"),
-            route_node.text("tenant", ""),
+            route_section.text("prefix"),
+            route_section.text("class"),
+            route_section.text("tenant", ""),
         )
         if class_name not in classes:
-            raise ConfigError(f"{route_node.path}.class: {class_name!r} is not in settings.services")
+            raise ConfigError(f"{route_section.path}.class: {class_name!r} is not in settings.services")
         if tenant and tenant not in tenants:
-            raise ConfigError(f"{route_node.path}.tenant: {tenant!r} is not in settings.accounts")
+            raise ConfigError(f"{route_section.path}.tenant: {tenant!r} is not in settings.accounts")
         routes.append(
             Route(
                 prefix,
-                int(route_node.number("destination")),
+                int(route_section.number("destination")),
                 classes.index(class_name),
                 tenants.index(tenant) if tenant else 0,
             )
@@ -97,13 +97,13 @@
         raise ConfigError(f"sockets: must be between 16 and 1000000, is {sockets!r}")
     advertise = root.text("advertise", "")
     if advertise:
-        address_of(advertise, "advertise")
+        parse_address(advertise, "advertise")
     peers = root.get("peers", list, [])
-    if not all(isinstance(item, str) for item in peers):
+    if not all(isinstance(peer, str) for peer in peers):
         raise ConfigError("peers: every item must be a string")
-    consul = root.node("consul")
+    consul = root.section("consul")
     address = consul.text("address")
-    address_of(address, "consul.address")
+    parse_address(address, "consul.address")
     ttl_s = consul.number("ttl_s", 10)
     wait_s = consul.number("wait_s", 30)
     for key, value in (("ttl_s", ttl_s), ("wait_s", wait_s)):
@@ -111,7 +111,7 @@
             raise ConfigError(f"consul.{key}: must be between 1 and 600, is {value!r}")
     return SipConfig(
         name=root.text("name"),
-        listen=address_of(root.text("listen"), "listen"),
+        listen=parse_address(root.text("listen"), "listen"),
         advertise=advertise,
         t1_s=t1_ms / 1000,
         trying_s=trying_ms / 1000,
@@ -126,6 +126,6 @@
             consul.text("token", ""),
         ),
         settings=settings,
-        connect_timeout_s=settings_node.node("limits").number("connect_timeout_s"),
+        connect_timeout_s=settings_section.section("limits").number("connect_timeout_s"),
         sockets=int(sockets),
     )
--- a/chutefork/sip/transactions.py
+++ b/chutefork/sip/transactions.py
@@ -14,7 +14,7 @@
 from .transport import SipTransport, Target
 
 if TYPE_CHECKING:
-    from ..net.clock import TurnReactor
+    from ..net.clock import CachedClockReactor
 
 
 logger = Logger()
@@ -89,7 +89,7 @@
     def respond(self, response: sip.Response) -> None:
         """Sends a response, unless a final one has been sent."""
         if self.state != "proceeding":
-            return  # guards against a second final response
+            return  # prevents a second final response
         self.last_response = bytes(response)
         self.send_last_response()
         if response.code < 200:
@@ -270,7 +270,7 @@
     INVITE transaction, which is one for a 2xx.
     """
 
-    def __init__(self, transport: SipTransport, clock: TurnReactor, timing: Timing) -> None:
+    def __init__(self, transport: SipTransport, clock: CachedClockReactor, timing: Timing) -> None:
         self.transport = transport
         self.clock = clock
         self.timing = timing
--- a/chutefork/sip/transport.py
+++ b/chutefork/sip/transport.py
@@ -17,7 +17,7 @@
 from . import message as sip
 
 if TYPE_CHECKING:
-    from ..net.clock import TurnReactor
+    from ..net.clock import CachedClockReactor
 
 MAX_HEADER_BYTES = 32 * 1024
 MAX_BODY_BYTES = 64 * 1024
@@ -26,7 +26,7 @@
 IDLE_TIMEOUT_US = 120_000_000
 FIRST_MESSAGE_TIMEOUT_US = 5_000_000  # an inbound connection without a message by then is closed
 INBOUND_SHARE = 3 / 4  # of the file descriptors, for inbound connections
-SWEEP_INTERVAL_S = 1.0
+IDLE_CHECK_INTERVAL_S = 1.0
 DROP_LOG_INTERVAL_US = 1_000_000  # dropped messages are logged in one line per interval
 CONTENT_LENGTH = re.compile(rb"(?:content-length|l)[ \t]*:[ \t]*(\d{1,9})[ \t]*\Z", re.I)
 
@@ -69,7 +69,7 @@
             self.header_lines.append(line)
             self.header_bytes += len(line) + 2
             if self.header_bytes > MAX_HEADER_BYTES:
-                self.end("long-head", f"over {MAX_HEADER_BYTES} bytes")
+                self.close("long-head", f"over {MAX_HEADER_BYTES} bytes")
             return
         if not self.header_lines:  # an empty line between messages is a keepalive
             return
@@ -83,7 +83,7 @@
                 Target("TCP", *self.remote_address, self),
                 sip.BadMessage("Content-Length is missing or too large"),
             )
-            self.end("bad-framing", "Content-Length is missing or too large")
+            self.close("bad-framing", "Content-Length is missing or too large")
         elif length:
             self.body_bytes_missing = length
             self.setRawMode()
@@ -96,7 +96,7 @@
         """The complete message that was gathered; starts the next one."""
         data = b"\r\n".join(self.header_lines) + b"\r\n\r\n" + b"".join(self.body_parts)
         self.header_lines, self.header_bytes, self.body_parts = [], 0, []
-        self.taken += 1
+        self.messages_received += 1
         return data
 
     def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
@@ -107,13 +107,13 @@
             self.sip_transport.message_received(
                 self.take_message(), Target("TCP", *self.remote_address, self)
             )
-            if not self.code:
+            if not self.end_code:
                 self.setLineMode(rest)
 
     def lineLengthExceeded(self, line: bytes) -> None:  # noqa: N802
-        self.end("long-head", f"over {MAX_HEADER_BYTES} bytes")
+        self.close("long-head", f"over {MAX_HEADER_BYTES} bytes")
 
-    def lost(self) -> None:
+    def on_closed(self) -> None:
         self.sip_transport.streams.pop(self, None)
         if (
             self.outbound_address is not None
@@ -156,10 +156,10 @@
 
     def send_queued(self) -> None:
         for data, _ in self.sip_transport.queued.pop(self.outbound_address, []):
-            self.push(data)
+            self.send(data)
 
-    def lost(self) -> None:
-        super().lost()
+    def on_closed(self) -> None:
+        super().on_closed()
         self.sip_transport.fail_queued(self.outbound_address)
 
 
@@ -182,7 +182,7 @@
     """
 
     def __init__(
-        self, clock: TurnReactor, listen: tuple[str, int], connect_timeout_s: float, sockets: int
+        self, clock: CachedClockReactor, listen: tuple[str, int], connect_timeout_s: float, sockets: int
     ) -> None:
         self.clock = clock
         self.max_inbound = max(round(sockets * INBOUND_SHARE), 1)
@@ -212,41 +212,49 @@
                 continue
             self.tcp, self.port = listening, listening.getHost().port
             break
-        self.sweep()
+        self.close_idle_connections()
 
     def stop_accepting(self) -> None:
         self.tcp.stopListening()
 
-    def sweep(self) -> None:
+    def close_idle_connections(self) -> None:
         """Closes idle connections, and inbound ones that never sent a message.
 
-        Guards against peers that vanish without closing: their descriptors would be held for ever.
+        Otherwise peers that vanish without closing would hold descriptors indefinitely.
         """
         now = self.clock.now_us()
         for stream in list(self.streams):
-            if now - stream.used_at > IDLE_TIMEOUT_US:
-                stream.end("idle")
+            if now - stream.last_used_at > IDLE_TIMEOUT_US:
+                stream.close("idle")
             elif (
                 stream.outbound_address is None
-                and not stream.taken
-                and now - stream.made_at > FIRST_MESSAGE_TIMEOUT_US
+                and not stream.messages_received
+                and now - stream.opened_at > FIRST_MESSAGE_TIMEOUT_US
             ):
-                stream.end("unused")
-        self.clock.callLater(SWEEP_INTERVAL_S, self.sweep)
+                stream.close("unused")
+        self.clock.callLater(IDLE_CHECK_INTERVAL_S, self.close_idle_connections)
 
     def limit_inbound(self, newest: SipStream) -> None:
         """Closes one inbound connection if there are too many.
 
-        Guards against the use of all descriptors by hundreds of inbound connections. One that has sent no
-        message is closed first, then the one that was idle for longest; one with unread data, or opened in
-        this turn of the loop, is kept. If there is no other, the newest is closed. A dialog outlives its
+        Keeps hundreds of inbound connections from using all descriptors. One that has sent no message is
+        closed first, then the one that was idle for longest; one with unread data, or opened in this
+        event-loop iteration, is kept. If there is no other, the newest is closed. A dialog outlives its
         connection.
         """
-        inbound = [item for item in self.streams if item.outbound_address is None and not item.code]
+        inbound = [
+            stream for stream in self.streams if stream.outbound_address is None and not stream.end_code
+        ]
         if len(inbound) > self.max_inbound:
-            idle = (item for item in inbound if item.made_at != self.clock.now_us() and not item.unread())
-            evicted = min(idle, key=lambda item: (item.taken > 0, item.used_at), default=newest)
-            evicted.end("crowded", at_once=True)
+            idle = (
+                stream
+                for stream in inbound
+                if stream.opened_at != self.clock.now_us() and not stream.has_unread_input()
+            )
+            evicted = min(
+                idle, key=lambda stream: (stream.messages_received > 0, stream.last_used_at), default=newest
+            )
+            evicted.close("crowded", at_once=True)
 
     def message_received(self, data: bytes, source: Target) -> None:
         try:
@@ -287,16 +295,16 @@
                     self.clock.callLater(0, on_failure)
             return
         stream = target.stream
-        if stream is not None and stream in self.streams and not stream.code:
-            stream.used_at = self.clock.now_us()
-            if stream.push(data):
+        if stream is not None and stream in self.streams and not stream.end_code:
+            stream.last_used_at = self.clock.now_us()
+            if stream.send(data):
                 return
         address = target.host, target.port
         stream = self.outbound.get(address)
-        usable = stream is not None and not stream.code
-        if usable and not stream.held:
-            stream.used_at = self.clock.now_us()
-            if stream.push(data):
+        usable = stream is not None and not stream.end_code
+        if usable and not stream.write_blocked:
+            stream.last_used_at = self.clock.now_us()
+            if stream.send(data):
                 return
         queue = self.queued.setdefault(address, [])
         if len(queue) >= MAX_QUEUED_MESSAGES:
--- a/tests/controller_harness.py
+++ b/tests/controller_harness.py
@@ -147,6 +147,7 @@
 
 
 def actions_of_type(actions, kind):
+    """Those of the actions that are instances of the class, in their order."""
     return [action for action in actions if isinstance(action, kind)]
 
 
--- a/tests/platform_harness.py
+++ b/tests/platform_harness.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-PATIENCE_S = 10.0  # timeout of every wait; only a failing test waits that long
+WAIT_TIMEOUT_S = 10.0  # timeout of every wait; only a failing test waits that long
 
 SETTINGS = {
     "balancers": 3,
@@ -55,23 +55,24 @@
 }
 
 
-def listener(address=("127.0.0.1", 0)):
+def listening_socket(address=("127.0.0.1", 0)):
+    """A TCP socket that listens, by default on a free port; `accept` fails after WAIT_TIMEOUT_S."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind(address)
     sock.listen(16)
-    sock.settimeout(PATIENCE_S)
+    sock.settimeout(WAIT_TIMEOUT_S)
     return sock
 
 
-def where(sock):
+def socket_address(sock):
     """The address of a bound socket as `host:port`."""
     return "%s:%d" % sock.getsockname()[:2]
 
 
-def until(condition, what):
-    """Polls until the condition returns a true value, and returns that; AssertionError after PATIENCE_S."""
-    end = time.monotonic() + PATIENCE_S
+def wait_until(condition, what):
+    """Polls until the condition is true and returns its value; AssertionError after WAIT_TIMEOUT_S."""
+    end = time.monotonic() + WAIT_TIMEOUT_S
     while time.monotonic() < end:
         found = condition()
         if found:
@@ -84,7 +85,7 @@
     """A caller with one connection; sends and reads JSON lines."""
 
     def __init__(self, address):
-        self.sock = socket.create_connection(address, timeout=PATIENCE_S)
+        self.sock = socket.create_connection(address, timeout=WAIT_TIMEOUT_S)
         self.file = self.sock.makefile("rb")
 
     def send(self, **record):
@@ -137,21 +138,21 @@
 
     def __init__(self, name, number, address=("127.0.0.1", 0)):
         self.name, self.number = name, number
-        self.sock = listener(address)
+        self.sock = listening_socket(address)
         self.connections = []
         self.stop_states, self.states_sent = False, 0  # of send_states
         self.sending = threading.Lock()
 
     def accept(self):
         connection = self.sock.accept()[0]
-        connection.settimeout(PATIENCE_S)
+        connection.settimeout(WAIT_TIMEOUT_S)
         self.connections.append(connection)
         return connection
 
     def entry(self, status="Ready", since=0):
         return {
             "name": self.name,
-            "address": where(self.sock),
+            "address": socket_address(self.sock),
             "zone": "z",
             "type": "std",
             "group": self.number,
@@ -217,7 +218,7 @@
     def __init__(self):
         self.events, self.polls = [], 0
         self.changed = threading.Condition()
-        self.sock = listener()
+        self.sock = listening_socket()
         self.sock.settimeout(None)
         threading.Thread(target=self._accept, daemon=True).start()
 
@@ -288,24 +289,24 @@
         for line in self.process.stdout:
             self.lines.append(line.rstrip("\n"))
 
-    def logged(self, *parts):
+    def log_lines(self, *parts):
         """The lines so far that contain all of the parts."""
         return [line for line in list(self.lines) if all(part in line for part in parts)]
 
     def wait_log(self, *parts):
-        return until(lambda: self.logged(*parts), f"a log line with {parts}: {self.lines}")
+        return wait_until(lambda: self.log_lines(*parts), f"a log line with {parts}: {self.lines}")
 
-    def finish(self):
+    def wait_for_exit(self):
         """Waits for the process to end by itself; returns its exit code."""
-        self.process.wait(PATIENCE_S)
-        self.reader.join(PATIENCE_S)
+        self.process.wait(WAIT_TIMEOUT_S)
+        self.reader.join(WAIT_TIMEOUT_S)
         return self.process.returncode
 
     def close(self):
         if self.process.poll() is None:
             self.process.kill()
         self.process.wait()
-        self.reader.join(PATIENCE_S)
+        self.reader.join(WAIT_TIMEOUT_S)
         self.process.stdout.close()
 
 
@@ -317,11 +318,11 @@
         self.addCleanup(self.folder.cleanup)
         self.channel = Channel()
         self.addCleanup(self.channel.close)
-        self.one, self.two = self.exchange("s-1", 1), self.exchange("s-2", 2)
-        self.channel.publish(self.one.entry(), self.two.entry())
+        self.exchange1, self.exchange2 = self.exchange("s-1", 1), self.exchange("s-2", 2)
+        self.channel.publish(self.exchange1.entry(), self.exchange2.entry())
         self.program = self.start()
-        self.one.accept()
-        self.two.accept()
+        self.exchange1.accept()
+        self.exchange2.accept()
 
     def exchange(self, name, number, address=("127.0.0.1", 0)):
         created = Exchange(name, number, address)
@@ -331,8 +332,8 @@
     def establish_call(self, caller, uid="00000000000000a1"):
         """Sets up a call at the first exchange and answers it."""
         caller.launch(uid)
-        self.assertEqual(self.one.read()[:2], (1, uid))
-        self.one.answer(uid)
+        self.assertEqual(self.exchange1.read()[:2], (1, uid))
+        self.exchange1.answer(uid)
         self.assertEqual(caller.read()["kind"], "running")
 
     def start(self, list_known=True, settings=None, env=None, limits=None):
@@ -341,7 +342,7 @@
             "name": "n0",
             "listen": "127.0.0.1:0",
             "seed": "8c1f30d27a5be964",
-            "channel": where(self.channel.sock),
+            "channel": socket_address(self.channel.sock),
             "settings": settings or SETTINGS,
             "known": {
                 "cursor": len(self.channel.events) if list_known else 0,
--- a/tests/sip_harness.py
+++ b/tests/sip_harness.py
@@ -12,7 +12,7 @@
 from tempfile import TemporaryDirectory
 from urllib.parse import parse_qs, urlsplit
 
-from .platform_harness import PATIENCE_S, ROOT, Program, listener, until
+from .platform_harness import ROOT, WAIT_TIMEOUT_S, Program, listening_socket, wait_until
 
 SDP = b"v=0\r\no=- 1 1 IN IP4 127.0.0.1\r\ns=-\r\n"
 
@@ -53,7 +53,7 @@
             self.sock.bind(("127.0.0.1", port))
             self.address = self.sock.getsockname()
         else:
-            self.server = listener(("127.0.0.1", port))
+            self.server = listening_socket(("127.0.0.1", port))
             self.address = self.server.getsockname()
         self.streams = []
         self.remote = None  # an address for UDP, a connection for TCP
@@ -61,13 +61,13 @@
 
     def listen_tcp_too(self):
         """Makes a UDP endpoint accept TCP connections on the same port as well."""
-        self.server = listener(self.address)
+        self.server = listening_socket(self.address)
 
     def connect(self, address):
         if self.transport == "UDP":
             self.remote = address
         else:
-            self.remote = socket.create_connection(address, timeout=PATIENCE_S)
+            self.remote = socket.create_connection(address, timeout=WAIT_TIMEOUT_S)
             self.streams.append(self.remote)
         return self
 
@@ -87,25 +87,25 @@
                     self.buffers[stream] = rest[size:]
                     self.remote = stream
                     return head + blank + rest[:size]
-            watched = [item for item in (getattr(self, "sock", None), self.server, *self.streams) if item]
+            watched = [sock for sock in (getattr(self, "sock", None), self.server, *self.streams) if sock]
             ready = select.select(watched, [], [], max(end - time.monotonic(), 0))[0]
             if not ready:
                 return None
-            for item in ready:
-                if item is self.server:
-                    self.streams.append(item.accept()[0])
-                elif item in self.streams:
-                    data = item.recv(65536)
+            for sock in ready:
+                if sock is self.server:
+                    self.streams.append(sock.accept()[0])
+                elif sock in self.streams:
+                    data = sock.recv(65536)
                     if not data:
-                        self.streams.remove(item)
-                        self.buffers.pop(item, None)
+                        self.streams.remove(sock)
+                        self.buffers.pop(sock, None)
                     else:
-                        self.buffers[item] = self.buffers.get(item, b"") + data
+                        self.buffers[sock] = self.buffers.get(sock, b"") + data
                 else:
-                    data, self.remote = item.recvfrom(65536)
+                    data, self.remote = sock.recvfrom(65536)
                     return data
 
-    def receive(self, seconds=PATIENCE_S):
+    def receive(self, seconds=WAIT_TIMEOUT_S):
         """The next message that is not a retransmission; None if there is none in time."""
         end = time.monotonic() + seconds
         while True:
@@ -129,12 +129,12 @@
 
     def expect_retransmission(self, expected):
         """Waits for a retransmission of a message received before, and consumes it."""
-        end = time.monotonic() + PATIENCE_S
+        end = time.monotonic() + WAIT_TIMEOUT_S
         while time.monotonic() < end:
-            for item in self.retransmissions:
-                if (item.code or item.method) == expected:
-                    self.retransmissions.remove(item)
-                    return item
+            for message in self.retransmissions:
+                if (message.code or message.method) == expected:
+                    self.retransmissions.remove(message)
+                    return message
             new = self.receive(0.02)
             if new is not None and new.code != 100:
                 raise AssertionError(f"expected a retransmission of {expected}, received {new}")
@@ -163,9 +163,9 @@
         self.send("\r\n".join(lines + ["", ""]).encode() + body)
 
     def close(self):
-        for item in (getattr(self, "sock", None), self.server, *self.streams):
-            if item is not None:
-                item.close()
+        for sock in (getattr(self, "sock", None), self.server, *self.streams):
+            if sock is not None:
+                sock.close()
 
 
 class CallerAgent(SipEndpoint):
@@ -326,7 +326,7 @@
 
     def wait_for_queries(self, index, times=2):
         """Waits until the program has processed an index: it sends both its queries from there on."""
-        until(
+        wait_until(
             lambda: sum(query[1] == index for query in list(self.queries)) >= times, f"queries from {index}"
         )
 
@@ -390,4 +390,4 @@
         return program
 
     def tearDown(self):
-        self.assertEqual(self.program.logged("fault "), [])
+        self.assertEqual(self.program.log_lines("fault "), [])
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -18,7 +18,7 @@
     for name in ("interface.py", "simulator_adapter.py"):
         for node in ast.walk(ast.parse((PACKAGE / name).read_text())):
             if isinstance(node, ast.ImportFrom) and node.module and node.module.endswith("call_controller"):
-                assert [item.name for item in node.names] == [
+                assert [alias.name for alias in node.names] == [
                     "CallController"
                 ] and name == "simulator_adapter.py"
 
--- a/tests/test_controller_guarantees.py
+++ b/tests/test_controller_guarantees.py
@@ -121,7 +121,7 @@
 def test_any_number_of_controllers_together_keep_the_budget_of_a_cold_switch(controllers):
     """Each exchange offers calls all the time; the set-ups of all are summed over windows of `fall_s`.
 
-    Guards against a large network whose controllers each send one set-up at the same time.
+    The controllers of a large network would exceed the budget if each sent one set-up at the same time.
     """
     warm_per_s, times, budget_shares = 10.0, [], []
     for seed in range(controllers):
@@ -183,7 +183,7 @@
     actions = harness.update_list(kind=ListKind.FAILED)
     timer = only_action(actions, SetTimer)
     assert timer.delay_s < harness.settings.ask_within_s
-    assert [type(item).__name__ for item in harness.advance(timer.delay_s).expire_timer(timer.token)] == [
+    assert [type(action).__name__ for action in harness.advance(timer.delay_s).expire_timer(timer.token)] == [
         "Subscribe"
     ]
 
--- a/tests/test_sip.py
+++ b/tests/test_sip.py
@@ -7,7 +7,7 @@
 import time
 import unittest
 
-from .platform_harness import PATIENCE_S, ROOT, PlatformCase, Program, until
+from .platform_harness import ROOT, WAIT_TIMEOUT_S, PlatformCase, Program, wait_until
 from .sip_harness import SDP, CallerAgent, FakeConsul, SipEndpoint, SipTestCase
 
 ANSWER = b"v=0\r\no=- 2 2 IN IP4 127.0.0.1\r\ns=hub\r\n"
@@ -76,7 +76,7 @@
         self.caller.send(data)
         self.hub1.expect_silence()
         self.assertEqual(
-            {item.get("Call-ID") for item in self.hub1.retransmissions} - {invite.get("Call-ID")}, set()
+            {message.get("Call-ID") for message in self.hub1.retransmissions} - {invite.get("Call-ID")}, set()
         )
         self.hub2.expect_silence(0.01)
         self.hub1.reply(invite, 200, ANSWER)
@@ -116,7 +116,8 @@
         self.caller.send_cancel()
         first, second = self.caller.receive(), self.caller.receive()
         self.assertEqual(
-            {(item.method, item.code) for item in (first, second)}, {("CANCEL", 200), ("INVITE", 487)}
+            {(message.method, message.code) for message in (first, second)},
+            {("CANCEL", 200), ("INVITE", 487)},
         )
         self.caller.ack_error(first if first.code == 487 else second)
         cancel = self.hub1.expect("CANCEL")
@@ -138,8 +139,10 @@
         self.hub1.expect("ACK")
         self.hub1.reply(self.hub1.expect("BYE"), 200)
         responses = [self.caller.receive(), self.caller.receive()]
-        self.assertEqual({(item.method, item.code) for item in responses}, {("CANCEL", 200), ("INVITE", 487)})
-        self.caller.ack_error(next(item for item in responses if item.code == 487))
+        self.assertEqual(
+            {(message.method, message.code) for message in responses}, {("CANCEL", 200), ("INVITE", 487)}
+        )
+        self.caller.ack_error(next(message for message in responses if message.code == 487))
         self.caller.expect_silence()
 
     def test_cancel_crossing_200_to_caller_keeps_call_until_bye(self):
@@ -300,7 +303,7 @@
         self.hub1.reply(invite, 180)
         ringing = self.caller.expect(180)
         self.caller.send_in_dialog("BYE", ringing)
-        codes = {(item.method, item.code) for item in (self.caller.receive(), self.caller.receive())}
+        codes = {(message.method, message.code) for message in (self.caller.receive(), self.caller.receive())}
         self.assertEqual(codes, {("BYE", 200), ("INVITE", 487)})
         self.hub1.expect("CANCEL")
 
@@ -309,7 +312,7 @@
         self.program.process.send_signal(signal.SIGTERM)
         self.caller.reply(self.caller.expect("BYE"), 200)
         self.hub1.reply(self.hub1.expect("BYE"), 200)
-        self.assertEqual(self.program.finish(), 0)
+        self.assertEqual(self.program.wait_for_exit(), 0)
 
     def test_drain_announced_by_consul(self):
         self.establish_call()
@@ -448,7 +451,7 @@
                 .replace(":8500", f":{consul.port}")
             )
         program = self.start(env={"CHUTEFORK_SIP": path})
-        self.one.accept()
+        self.exchange1.accept()
         consul.wait_for_queries(consul.index)
         port = program.wait_log("serving-sip ")[0].rpartition(":")[2]
         caller.connect(("127.0.0.1", int(port))).send_invite()
@@ -456,12 +459,12 @@
         caller.send_in_dialog("ACK", caller.expect(200))
         lines = self.caller()
         lines.launch("00000000000000a1")
-        self.assertEqual(self.one.read()[:2], (1, "00000000000000a1"))
-        self.one.answer("00000000000000a1")
+        self.assertEqual(self.exchange1.read()[:2], (1, "00000000000000a1"))
+        self.exchange1.answer("00000000000000a1")
         self.assertEqual(lines.read()["kind"], "running")
         program.process.send_signal(signal.SIGTERM)
         caller.reply(caller.expect("BYE"), 200)
-        self.assertEqual(program.finish(), 0)
+        self.assertEqual(program.wait_for_exit(), 0)
 
 
 class ConnectionLimitTests(SipTestCase):
@@ -471,7 +474,7 @@
     def test_silent_connections_are_evicted_and_closed(self):
         self.caller.send_request("OPTIONS")
         self.caller.expect(200)
-        silent = [socket.create_connection(self.address, PATIENCE_S) for _ in range(60)]
+        silent = [socket.create_connection(self.address, WAIT_TIMEOUT_S) for _ in range(60)]
         self.program.wait_log("end role=sip", "code=crowded")
         self.caller.send_request("OPTIONS")
         self.caller.expect(200)
@@ -484,24 +487,24 @@
 
 class ConsulTests(SipTestCase):
     def test_service_is_registered_kept_passing_and_deregistered(self):
-        until(lambda: any("/check/pass/" in path for path, _ in self.consul.puts), "a pass")
+        wait_until(lambda: any("/check/pass/" in path for path, _ in self.consul.puts), "a pass")
         path, entry = self.consul.puts[0]
         self.assertEqual(path, "/v1/agent/service/register")
         self.assertEqual((entry["Name"], entry["Port"]), ("chutefork-sip", self.address[1]))
         self.assertEqual(entry["Check"]["TTL"], "1s")
         passes = len(self.consul.puts)
-        until(lambda: len(self.consul.puts) > passes + 1, "further passes")
+        wait_until(lambda: len(self.consul.puts) > passes + 1, "further passes")
         self.consul.agent_status = 404
-        until(lambda: sum("/register" in path for path, _ in self.consul.puts) > 1, "registered again")
+        wait_until(lambda: sum("/register" in path for path, _ in self.consul.puts) > 1, "registered again")
         self.assertLess(len(self.consul.puts), passes + 20)  # it waits between requests
         self.consul.agent_status = 200
         self.program.process.send_signal(signal.SIGTERM)
-        self.assertEqual(self.program.finish(), 0)
+        self.assertEqual(self.program.wait_for_exit(), 0)
         self.assertIn("/deregister/", self.consul.puts[-1][0])
 
     def test_index_going_backwards_restarts_query_from_zero(self):
         self.consul.set_service("hub-1", status="passing", index=3)
-        until(lambda: ("/v1/health/service/sip-hub", 0) in self.consul.queries[2:], "a query from 0")
+        wait_until(lambda: ("/v1/health/service/sip-hub", 0) in self.consul.queries[2:], "a query from 0")
         self.consul.wait_for_queries(3)
 
     def test_last_list_is_kept_while_consul_is_down_and_updated_afterwards(self):
@@ -543,7 +546,7 @@
                 with open(path, "w") as file:
                     file.write(text.replace(old, new))
                 program = Program({"CHUTEFORK_SIP": path})
-                self.assertEqual(program.finish(), 2)
+                self.assertEqual(program.wait_for_exit(), 2)
                 self.assertIn(key, "\n".join(program.lines))
                 program.close()
 
