--- a/chutefork/call_controller.py
+++ b/chutefork/call_controller.py
@@ -5,8 +5,9 @@
 no I/O. Times are seconds on the host's clock, names that end in `_s` are durations in seconds.
 
 Overload control is method B of the OSA gateway paper with static rejection, applied to each remote exchange:
-each reading compares the number of this exchange's unanswered set-ups with a threshold, five readings in a
-row on the same side of it move a load level (0 to 2), and the level sets the chance that a set-up is refused.
+each reading compares the number of unanswered set-ups that this exchange has sent there with a threshold,
+five readings in a row on the same side of it move a load level (0 to 2), and the level sets the chance that a
+set-up is refused.
 """
 
 from __future__ import annotations
@@ -26,10 +27,11 @@
 # Share of the mean aim that may be spent waiting for one processor: a call crosses two or three.
 WAIT_LIMIT_SHARE = 0.5
 SLOW_ANSWER_SHARE = 0.5  # share of the wait limit from which a direct answer counts against using tandems
-LEVEL_2_THRESHOLD_RATIO = 45 / 40  # threshold of level 2 over that of level 1 (from the paper)
+LEVEL_2_THRESHOLD_RATIO = 45 / 40  # ratio of level 2's threshold to level 1's (from the paper)
 MAX_CONSECUTIVE_ERRORS = 20  # an exchange that has answered with nothing else gets one attempt per call
 OVERTAKING_SETUPS = 3  # later set-ups established, after which an earlier one no longer waits in the queue
-# Share used of the load that a cold processor can carry: the rest is for chance, repeats and redials.
+# Share used of the load that a cold processor can carry: the rest is for random peaks, repeated set-ups and
+# callers' redials.
 COLD_BUDGET_SHARE = 0.5
 
 
@@ -37,8 +39,8 @@
 class ExchangeState:
     """State kept for one remote exchange: its processor, and the trunk group towards it.
 
-    With `switch` -1 it holds the load level and answer rate of the own processor, or the load level of all
-    tandems together.
+    With `switch` -1 it holds the load level and answer rate of this exchange's own processor, or the load
+    level that limits calls by tandem and in transit.
     """
 
     switch: int
@@ -49,7 +51,7 @@
     group_circuits: float = 0.0  # size of the trunk group
     answer_rate_per_s: float = 0.0  # smoothed
     rate_updated_at: float = 0.0
-    first_sent_at: float = -math.inf  # earlier answers are not in the rate
+    first_sent_at: float = -math.inf  # when the first set-up was sent: the rate covers the time since then
     level: int = 0  # index in REFUSAL_CHANCE
     consecutive_over: int = 0  # readings above the threshold
     consecutive_under: int = 0  # readings below the threshold
@@ -59,7 +61,7 @@
     overloaded_until: float = -math.inf
     logged_at: float = -math.inf  # when its overload was last logged
     consecutive_errors: int = 0  # signalling errors
-    peer_sequence: int = 0  # sequence number of the latest message from its controller
+    sequence: int = 0  # sequence number of the latest message from its controller
     cold_sent_at: deque[float] = field(default_factory=deque)  # when set-ups were sent during its warm-up
 
     def preference(self) -> tuple[bool, float, int]:
@@ -67,7 +69,7 @@
         return self.state is api.SwitchState.READY, self.started_at, self.switch
 
     def decayed_rate_per_s(self, now: float, smoothing_s: float) -> float:
-        """The smoothed answer rate, decayed exponentially since the last answer."""
+        """The smoothed answer rate, decayed exponentially from the last answer to `now`."""
         return self.answer_rate_per_s * math.exp((self.rate_updated_at - now) / smoothing_s)
 
     def record_answer(self, now: float, smoothing_s: float) -> None:
@@ -115,7 +117,7 @@
         A count equal to the threshold, or between the two of level 1, is neither over nor under. `failed`: an
         attempt has failed for overload, so this and all readings of the next `wait_s` are over.
         """
-        # A full or silent processor must not be reopened because failures have emptied the count of
+        # The level of a full or silent processor must not fall because failures have emptied the count of
         # unanswered set-ups. Side effect: set-ups are also refused after a short stall.
         if failed:
             self.overloaded_until = max(self.overloaded_until, now + wait_s)
@@ -167,7 +169,8 @@
     def __init__(self, settings: api.Settings) -> None:
         self.settings = settings
         self.rng = random.Random(settings.seed)
-        # Point in its turn, 0 to 1, at which this controller sends its first set-up to a cold processor.
+        # Share of the interval between its set-ups to a cold processor that this controller waits before the
+        # first one.
         self.cold_start_phase = self.rng.random()
         self.exchanges: dict[int, ExchangeState] = {}  # by switch
         self.exchange_by_number: dict[int, ExchangeState] = {}  # the switch that serves a number now
@@ -176,7 +179,7 @@
         self.tandem_by_destination: dict[int, int] = {}  # destination number -> switch of the chosen tandem
         # (destination number, tandem's switch) -> when that tandem may be used for it again
         self.tandem_blocked_until: dict[tuple[int, int], float] = {}
-        # called number -> first and latest call of a run of calls
+        # called number -> when the first and the latest call of a run of calls came
         self.redial_runs: dict[int, tuple[float, float]] = {}
         self.timers: dict[int, int] = {}  # token -> call to route again; -1: request the list of switches
         self.last_token = 0
@@ -229,25 +232,21 @@
         listed = set()
         for entry in event.entries:
             listed.add(entry.switch)
-            exchange = self.exchanges.get(entry.switch)
-            if exchange is None or entry.started_at_s > exchange.started_at > 0:
-                restarted = ExchangeState(entry.switch, entry.number)
-                if exchange is not None:
-                    restarted.free_circuits, restarted.group_circuits, restarted.unanswered = (
-                        exchange.free_circuits,
-                        exchange.group_circuits,
-                        exchange.unanswered,
+            remote = self.exchanges.get(entry.switch)
+            if remote is None or entry.started_at_s > remote.started_at > 0:
+                fresh = ExchangeState(entry.switch, entry.number)
+                if remote is not None:
+                    fresh.free_circuits, fresh.group_circuits, fresh.unanswered = (
+                        remote.free_circuits,
+                        remote.group_circuits,
+                        remote.unanswered,
                     )
-                self.exchanges[entry.switch] = exchange = restarted
-            exchange.number, exchange.state, exchange.started_at = (
-                entry.number,
-                entry.state,
-                entry.started_at_s,
-            )
+                self.exchanges[entry.switch] = remote = fresh
+            remote.number, remote.state, remote.started_at = entry.number, entry.state, entry.started_at_s
         if event.kind is not api.ListKind.CHANGES:
-            for switch, exchange in self.exchanges.items():
+            for switch, remote in self.exchanges.items():
                 if switch not in listed:
-                    exchange.state = api.SwitchState.GONE
+                    remote.state = api.SwitchState.GONE
         self.tandem_blocked_until = {
             pair: until for pair, until in self.tandem_blocked_until.items() if until > now
         }
@@ -277,16 +276,13 @@
         exchange.group_circuits = (
             exchange.group_circuits if load.group_circuits is None else load.group_circuits
         )
-        # The share asked for is over or under where another level's refusal chance is nearer to it.
+        # A requested share to hold back is a reading over or under if the refusal chance of the next higher
+        # or lower level is nearer to it than that of the present level.
         if load.hold_back_share is not None:
             below, at, above = (-1.0, *REFUSAL_CHANCE, math.inf)[exchange.level : exchange.level + 3]
-            hold_back_share = load.hold_back_share
+            share = load.hold_back_share
             self.log_overload(
-                now,
-                exchange,
-                exchange.count_reading(
-                    hold_back_share > (at + above) / 2, hold_back_share < (below + at) / 2
-                ),
+                now, exchange, exchange.count_reading(share > (at + above) / 2, share < (below + at) / 2)
             )
         wait_s = load.wait_s
         if wait_s is None and load.waiting is not None and load.capacity_per_s:
@@ -335,7 +331,9 @@
     def route(self, now: float, call_id: int, call: Call) -> None:
         """Sends the call directly, else by the tandem last chosen, else by another one; else refuses it.
 
-        A call in transit is sent directly or refused.
+        A call in transit is sent directly or refused. A call is also refused, without trying a tandem, if its
+        destination has no usable switch or the load there rules it out; in the pools form such a call goes on
+        to another pool.
         """
         arrival = call.arrival
         dest = self.exchange_by_number.get(arrival.destination)
@@ -416,7 +414,10 @@
         )
 
     def usable(self, exchange: ExchangeState) -> bool:
-        """Listed and running: a drain stops set-ups as soon as it is known, well within the grace period."""
+        """Whether set-ups may be sent: it is READY, and the switch that serves its number.
+
+        A drain stops set-ups as soon as it is listed, well within `drain_grace_s`.
+        """
         return (
             exchange.state is api.SwitchState.READY
             and self.exchange_by_number.get(exchange.number) is exchange
@@ -427,8 +428,10 @@
         return exchange.free_circuits is None or exchange.free_circuits - reserve >= arrival.width_circuits
 
     def reserved_circuits(self, exchange: ExchangeState) -> float:
-        """Trunk reservation: circuits of the group kept free for direct calls, half the spread (square root)
-        of the number of calls that it holds."""
+        """Trunk reservation: circuits of the group that are kept free for direct calls.
+
+        They are half the spread, taken as the square root, of the number of calls that the group holds.
+        """
         return 0.0 if self.settings.pools_form else math.sqrt(exchange.group_circuits) / 2
 
     def exchange_refuses(self, now: float, exchange: ExchangeState, call: Call) -> bool:
@@ -446,13 +449,13 @@
         return self.rng.random() < REFUSAL_CHANCE[exchange.level] ** share and exchange.level > 0
 
     def own_processor_refuses(self, now: float, call: Call) -> bool:
-        """Counts a reading of the own processor, draws by its level, and sends a changed level to the peers.
+        """Whether this exchange's own processor rules the call out; sends the peers a changed level.
 
-        Every set-up crosses the own processor first: where even the quickest direct answer of the last
-        `wait_limit_s` was slow or failed, at more than one exchange, the wait is here. A reading is under
-        only after a quick answer or with no set-up unanswered: otherwise redials would reopen a level that
-        refuses all calls before any answer has come. Side effect: the level stays while all answers are
-        neither quick nor slow.
+        Each call counts as a reading, then the level's refusal chance decides. Every set-up crosses the own
+        processor first: where even the quickest direct answer of the last `wait_limit_s` was slow or failed,
+        at more than one exchange, the wait is here. A reading is under only after a quick answer or with no
+        set-up unanswered: otherwise redials would lower a level that refuses all calls before any answer has
+        come. Side effect: the level stays while all answers are neither quick nor slow.
         """
         while self.direct_answers and self.direct_answers[0][0] <= now - self.wait_limit_s:
             self.direct_answers.popleft()
@@ -485,28 +488,24 @@
         controller in one of many. Readings go on from the reported level, so a lost message costs no more
         than one never sent.
         """
-        exchange, payload = self.exchange_by_number.get(event.sender), event.payload
+        peer, data = self.exchange_by_number.get(event.sender), event.payload
         if (
-            exchange is None
-            or len(payload) != 2
-            or payload[0] >= len(REFUSAL_CHANCE)
-            or (payload[1] - exchange.peer_sequence) % 256 > 127
+            peer is None
+            or len(data) != 2
+            or data[0] >= len(REFUSAL_CHANCE)
+            or (data[1] - peer.sequence) % 256 > 127
         ):
             return  # unknown sender, malformed or outdated
-        exchange.level, exchange.peer_sequence, exchange.consecutive_over, exchange.consecutive_under = (
-            payload[0],
-            payload[1],
-            0,
-            0,
-        )
+        peer.level, peer.sequence, peer.consecutive_over, peer.consecutive_under = data[0], data[1], 0, 0
 
     def cold_budget_spent(self, now: float, exchange: ExchangeState) -> bool:
         """Whether this controller has used its part of the load that a processor can carry in its warm-up.
 
-        The capacity of a warm processor is estimated by the own one: as many calls end at an exchange as
-        begin there, hence the factor 2. A part below one set-up per window of `fall_s` is spread over several
-        windows, from a phase drawn from the seed: otherwise all controllers of a large network would send
-        one each at once. Side effect: a pair of exchanges with more traffic than the mean waits for its turn.
+        The capacity of a warm processor is estimated by the answer rate of the local one: as many calls end
+        at an exchange as begin there, hence the factor 2. A part below one set-up per window of `fall_s` is
+        spread over several windows, from a phase drawn from the seed: otherwise all controllers of a large
+        network would send one each at once. Side effect: a pair of exchanges with more traffic than the mean
+        waits for its turn.
         """
         settings = self.settings
         if not self.is_cold(now, exchange):
@@ -552,7 +551,7 @@
         self.actions.append(api.Refuse(call_id, hold_off_s))
 
     def on_established(self, now: float, event: api.CallEstablished) -> None:
-        call = self.calls.pop(event.call, None)  # answered; its end comes with `call_over` set
+        call = self.calls.pop(event.call, None)  # answered; its end, or a cut, comes with `call_over` set
         exchange = self.exchanges.get(event.switch)
         if exchange is not None:
             exchange.consecutive_errors = 0
@@ -568,8 +567,8 @@
     def waited_too_long(self, now: float, call_id: int, call: Call) -> bool:
         """Whether an attempt without an answer has waited longer than the wait limit for one processor.
 
-        Attempts of callers that leave no time, or cancel at once, say nothing of the exchange and must not
-        count against it.
+        Attempts of callers that leave no time, or cancel at once, say nothing about the exchange and must
+        not count against it.
         """
         return now - call.pending_exchange.unanswered.get(call_id, now) > self.wait_limit_s
 
@@ -618,14 +617,16 @@
         if exchange.number != call.arrival.destination:
             length_s = self.settings.classes[call.arrival.class_index].length_s
             # The tandem is not used for this destination while about 2 * sqrt(circuits) calls of its group
-            # end, the spread either way. This avoids overflow that only costs work, and tandems cut off from
-            # the destination. Side effect: one busy moment keeps a good tandem out of use.
+            # end: the spread (square root) of their number either way. This avoids overflow that only costs
+            # work, and tandems cut off from the destination. Side effect: one busy moment keeps a good tandem
+            # out of use.
             block_s = 2 * length_s / math.sqrt(max(exchange.group_circuits, 1))
             self.tandem_blocked_until[call.arrival.destination, event.switch] = now + block_s
             if event.switch == self.tandem_by_destination.get(call.arrival.destination):
                 del self.tandem_by_destination[call.arrival.destination]
         if event.outcome in (api.Outcome.TIMEOUT, api.Outcome.CUT, api.Outcome.CANCELLED):
-            # A lost connection says nothing of the route: the direct one is tried first again.
+            # A lost connection (CUT) says nothing about the route: the direct one is tried first again. After
+            # the other two the call goes on by tandem, since its direct route is barred.
             self.retry_after_release(now, event.call, call)
         elif (
             signalling_error
@@ -660,7 +661,7 @@
         """Removes the attempt from the unanswered ones; its answer, or its failure, counts as a reading.
 
         `failed`: a failure that shows overload, after which readings stay over for `wait_s`. Neither `failed`
-        nor `answered`: the attempt says nothing of the exchange.
+        nor `answered`: the attempt says nothing about the exchange.
         """
         exchange = self.exchanges.get(switch)
         if call is None or exchange is None:
@@ -698,10 +699,10 @@
             )
 
     def retry_after_release(self, now: float, call_id: int, call: Call) -> None:
-        """Fifth rule: a call is not sent again until the release of its last attempt is over.
+        """Routes the call again when the release of its last attempt is over, or refuses it.
 
-        A call is refused where its aim or the caller leaves no time for that wait, and likewise in transit or
-        without attempts left.
+        No call may be sent again before that. It is refused if its aim or the caller leaves no time for the
+        wait, if it is in transit, or if it has no attempts left.
         """
         retry_at = now + self.settings.release_s + self.settings.tick_s
         aim_s = self.settings.classes[call.arrival.class_index].aim_s
--- a/chutefork/core/messages.py
+++ b/chutefork/core/messages.py
@@ -1,8 +1,8 @@
 """Events that the protocol frontends and backends pass to the reducer, and effects that it returns to them.
 
 A frontend serves callers, a backend connects to hubs. Points in time are whole microseconds on the monotonic
-clock; names that end in `_us` are durations in microseconds. `call` is the frontend's number of a call, `hub`
-the name of a `Hub`.
+clock; names that end in `_us` are durations in microseconds. `call` is the frontend's number of a call; a
+`hub` that is a `str` is the name of a `Hub`.
 """
 
 from __future__ import annotations
--- a/chutefork/core/reducer.py
+++ b/chutefork/core/reducer.py
@@ -32,7 +32,7 @@
 
     arrival: messages.Arrival
     answer_by: int  # when the final answer is due: the caller's time limit less ANSWER_MARGIN_US
-    attempts: int = 0  # attempts so far, with those that ended before a set-up was sent
+    attempts: int = 0  # attempts so far, including those that ended before a set-up was sent
     pending_hub: str | None = None  # name of the hub that the open attempt was sent to; None: none open
     sent_at: int = 0  # when the latest set-up was sent; 0: none sent
     release_wait_until: int = 0  # end of the release wait, before which no set-up may be sent
@@ -119,8 +119,8 @@
             _add_timer(state, now + round(action.delay_s * US_PER_SECOND), "controller", action.token)
         elif isinstance(action, api.LogMessage):
             effects.append(messages.LogMessage(action.text))
-        # Probe, SendPeerMessage and Subscribe are ignored: this deployment allows none of them, and hub lists
-        # arrive without a request.
+        # Probe, SendPeerMessage and Subscribe are ignored: this deployment allows neither probes nor messages
+        # between controllers (limits `probes` and `peers`), and hub lists arrive without a request.
 
 
 def _start_attempt(state: State, action: api.SetUp, now: int, effects: list[messages.Effect]) -> None:
@@ -350,7 +350,7 @@
         return  # a duplicate, or the call is being set up there again: a release would end it
     if call is not None or event.call in state.finished_at or event.call in state.established:
         # The answer crossed the release of its attempt. Without another release the call would stay up at the
-        # hub although no caller has it.
+        # hub without a caller.
         effects.append(messages.Release(event.call, event.hub))
 
 
@@ -409,8 +409,8 @@
     """Handles a hub list: adds, updates and removes hubs, and passes the list to the controller.
 
     With any kind but CHANGES, hubs that are not listed are gone. The calls established at a hub that is gone
-    or has restarted are cut, and attempts open at a hub that is gone end with CUT. Every hub but the own
-    exchange gets an `UpdateHubConnection` effect.
+    or has restarted are cut, and attempts open at a hub that is gone end with CUT. Every hub but those
+    of this exchange's own number gets an `UpdateHubConnection` effect.
     """
     listed_names = set()
     for hub in event.hubs:
@@ -498,7 +498,7 @@
     entry = state.hubs.get(event.hub)
     if entry is not None:
         # The calls are released at the hub as well: if the process is alive and only its listen queue is
-        # full, they would otherwise stay up there although no caller has them.
+        # full, they would otherwise stay up there without a caller.
         effects.extend(messages.Release(call_id, event.hub) for call_id in sorted(entry.established_calls))
         _cut_established_calls(state, entry, now, effects)
 
--- a/chutefork/interface.py
+++ b/chutefork/interface.py
@@ -62,7 +62,7 @@
 
     aim_s: float  # a call answered within this time earns its full worth
     deadline_s: float  # how long a caller waits for the answer
-    worth: float
+    worth: float  # of a call answered within `aim_s`
     late_worth_share: float  # share of the worth that an answer after `aim_s` earns
     width_circuits: int  # circuits that a call occupies
     length_s: float  # mean duration of an established call
@@ -89,7 +89,7 @@
     pools_form: bool  # True: pools of agents; False: exchanges joined by trunk groups
     classes: tuple[CallClass, ...]
     tenants: tuple[Tenant, ...]
-    over_share_worth: float  # worth of calls beyond a tenant's quota
+    over_share_worth: float  # worth of a call beyond its tenant's quota
     release_s: float  # time that the release of an abandoned attempt takes
     resend_s: float  # 0: an unanswered set-up is not retransmitted automatically
     max_attempts: int  # per call
@@ -98,11 +98,11 @@
     hold_off_allowed: bool  # `Refuse` may ask the caller to wait before a redial
     max_hold_off_s: float
     list_on_request: bool  # the list of switches comes only on `Subscribe`
-    ask_within_s: float  # the list has to be requested again within this time
+    ask_within_s: float  # after a failure the list has to be requested again within this time
     drain_grace_s: float  # after the announcement of a drain, new set-ups have to stop within this time
     cold_share: float  # share of its capacity that a switch has directly after its start, in (0, 1]
     warm_up_s: float  # from a switch's start until it has its full capacity
-    tip_multiple: float  # load that overturns a switch, as a multiple of its present capacity
+    tip_multiple: float  # load at which a switch collapses, as a multiple of its present capacity
     fall_s: float  # time window over which that load is counted
     tick_s: float  # time resolution of the host
 
--- a/chutefork/simulator_adapter.py
+++ b/chutefork/simulator_adapter.py
@@ -121,59 +121,56 @@
             raise ValueError(f"{path}: not a list of numbers: {self.values[path]!r}") from None
 
 
-def parse_settings(parameters: BootParameters, seed: int) -> api.Settings:
+def parse_settings(params: BootParameters, seed: int) -> api.Settings:
     """Raises ValueError, with the path or the field first in the text, for a missing or unusable value."""
-    class_count = parameters.count("services")
-    widths, lengths_s = (
-        parameters.numbers("family_info.widths"),
-        parameters.numbers("family_info.call_length_s"),
-    )
+    class_count = params.count("services")
+    widths, lengths_s = params.numbers("family_info.widths"), params.numbers("family_info.call_length_s")
     for path, values in (("family_info.widths", widths), ("family_info.call_length_s", lengths_s)):
         if len(values) != class_count:
             raise ValueError(f"{path}: {len(values)} values for {class_count} classes")
-    pools_form = parameters.text("family_info.network_form") == "skills"
+    pools_form = params.text("family_info.network_form") == "skills"
     classes = []
     for index in range(class_count):
         prefix = f"services.{index}."
-        pools = parameters.numbers(f"family_info.pools_by_class.{index}") if pools_form else []
+        pools = params.numbers(f"family_info.pools_by_class.{index}") if pools_form else []
         classes.append(
             api.CallClass(
-                aim_s=parameters.number(prefix + "target_s"),
-                deadline_s=parameters.number(prefix + "deadline_s"),
-                worth=parameters.number(prefix + "worth"),
-                late_worth_share=parameters.number(prefix + "late_worth"),
+                aim_s=params.number(prefix + "target_s"),
+                deadline_s=params.number(prefix + "deadline_s"),
+                worth=params.number(prefix + "worth"),
+                late_worth_share=params.number(prefix + "late_worth"),
                 width_circuits=int(widths[index]),
                 length_s=lengths_s[index],
                 pools=tuple(map(int, pools)),
             )
         )
     tenants = tuple(
-        api.Tenant(quota_per_s=parameters.number(f"accounts.{index}.quota_per_s"))
-        for index in range(parameters.count("accounts"))
+        api.Tenant(quota_per_s=params.number(f"accounts.{index}.quota_per_s"))
+        for index in range(params.count("accounts"))
     )
     return api.Settings(
         seed=seed,
-        own_number=int(parameters.number("family_info.self_no")),
-        controllers=int(parameters.number("balancers")),
+        own_number=int(params.number("family_info.self_no")),
+        controllers=int(params.number("balancers")),
         pools_form=pools_form,
         classes=tuple(classes),
         tenants=tenants,
-        over_share_worth=parameters.number("over_share_worth"),
-        release_s=parameters.number("family_info.release_s"),
-        resend_s=parameters.number("family_info.retransmit_s"),
-        max_attempts=int(parameters.number("limits.max_attempts")),
-        probes_allowed=parameters.flag("limits.probes"),
-        messages_allowed=parameters.flag("limits.peers"),
-        hold_off_allowed=parameters.flag("limits.retry_after"),
-        max_hold_off_s=parameters.number("limits.max_retry_after_s"),
-        list_on_request=parameters.text("membership_mode") == "ask",
-        ask_within_s=parameters.number("rules.ask_within_s"),
-        drain_grace_s=parameters.number("rules.stop_sending_within_s"),
-        cold_share=parameters.number("rules.cold_share"),
-        warm_up_s=parameters.number("rules.warm_up_s"),
-        tip_multiple=parameters.number("rules.tip_multiple"),
-        fall_s=parameters.number("rules.fall_s"),
-        tick_s=parameters.number("tick_s"),
+        over_share_worth=params.number("over_share_worth"),
+        release_s=params.number("family_info.release_s"),
+        resend_s=params.number("family_info.retransmit_s"),
+        max_attempts=int(params.number("limits.max_attempts")),
+        probes_allowed=params.flag("limits.probes"),
+        messages_allowed=params.flag("limits.peers"),
+        hold_off_allowed=params.flag("limits.retry_after"),
+        max_hold_off_s=params.number("limits.max_retry_after_s"),
+        list_on_request=params.text("membership_mode") == "ask",
+        ask_within_s=params.number("rules.ask_within_s"),
+        drain_grace_s=params.number("rules.stop_sending_within_s"),
+        cold_share=params.number("rules.cold_share"),
+        warm_up_s=params.number("rules.warm_up_s"),
+        tip_multiple=params.number("rules.tip_multiple"),
+        fall_s=params.number("rules.fall_s"),
+        tick_s=params.number("tick_s"),
     )
 
 
@@ -294,10 +291,7 @@
             offset += ATTEMPT_ENDED.size
             values = struct.unpack_from(f"<{value_count}f", body, offset)
             offset += 4 * value_count
-            outcome, (reason, retry_after_s) = (
-                lookup(OUTCOMES, outcome_code, "outcome"),
-                parse_reason(reason_code),
-            )
+            outcome, (reason, wait_s) = lookup(OUTCOMES, outcome_code, "outcome"), parse_reason(reason_code)
             event = api.AttemptEnded(
                 call,
                 attempt,
@@ -306,7 +300,7 @@
                 elapsed_s,
                 bool(call_over),
                 reason,
-                retry_after_s,
+                wait_s,
                 instance.parse_load(values) if instance else None,
             )
         elif code == 17:  # call established
@@ -362,10 +356,10 @@
         Unusable parameters are reported as a failure of the instance, which is then not running.
         """
         try:
-            parameters = BootParameters(text)
-            load_names = [name for name in parameters.text("report.names").split(",") if name]
+            params = BootParameters(text)
+            load_names = [name for name in params.text("report.names").split(",") if name]
             self.instances[instance_id] = ControllerInstance(
-                CallController(parse_settings(parameters, seed)), load_names
+                CallController(parse_settings(params, seed)), load_names
             )
         except Exception as error:
             self.instances.pop(instance_id, None)
