--- a/chutefork/net/callers.py
+++ b/chutefork/net/callers.py
@@ -19,9 +19,9 @@
 
 UID = re.compile(r"[0-9a-fA-F]{16}\Z")
 # Cause numbers of this protocol
-CAUSE_REFUSED = 42  # also where all lines of the number are busy
-CAUSE_NO_CIRCUIT = 34
-CAUSE_FAILED = 41  # also for a call that was cut
+CAUSE_REFUSED = 42  # refused for any other reason than that of 34, such as all lines of the number busy
+CAUSE_NO_CIRCUIT = 34  # FailureCause.UNAVAILABLE, or refused by a limit in this module
+CAUSE_FAILED = 41  # also for an established call that was cut
 CAUSE_ENDED = 16  # the call's normal end
 IDLE_TIMEOUT_US = 5_000_000  # callers close an idle connection themselves after 4 s
 # Without a usable message by then the connection is closed: a peer must get an answer or a close within 3 s.
@@ -31,15 +31,15 @@
 BAD_SETUP_PAUSE_S = 0.25  # reading from a connection pauses for so long after an unusable set-up
 MAX_BAD_SETUPS = 8  # on one connection
 MAX_UNANSWERED_PER_CONNECTION = 512  # set-ups
-CALLER_SOCKETS_SHARE = (
-    3 / 4
-)  # of the descriptors; the rest is for exchanges, the command channel and the program
+# Of the file descriptors; the rest is for exchanges, the command channel and the program itself.
+CALLER_SOCKETS_SHARE = 3 / 4
 OUTPUT_MEMORY_SHARE = 1 / 4  # of the memory, for output queued to callers
-TIME_LEFT_MARGIN = 1.1  # factor over the longest configured deadline that a caller's time may reach
+# A set-up is unusable if its time left is more than the longest configured deadline times this factor.
+TIME_LEFT_MARGIN = 1.1
 MAX_UNANSWERED_PER_MB = 50  # set-ups on all connections, per megabyte of memory
 DESCRIPTION_MEMORY_SHARE = 1 / 8  # of the memory, for the descriptions of unanswered set-ups
 FRAME_OVERHEAD_BYTES = 64  # of a set-up in an exchange's frame, besides its texts
-MAX_WAITING_CHECKS = 64
+MAX_WAITING_CHECKS = 64  # health checks that come before the program is ready
 MAX_UNSENT_RELEASES = 10_000
 
 
@@ -64,8 +64,10 @@
         self.used = False  # a usable message has come
         self.calls_carried = 0  # calls established for this connection
         self.bad_setups = 0
-        self.counted_at = self.lines_counted = 0  # lines in the present event-loop iteration
-        self.buffered_releases: list[bytes] = []  # in the output buffer of a peer that does not read
+        self.counted_at = self.lines_counted = 0  # event-loop iteration, and the lines received in it
+        self.buffered_releases: list[
+            bytes
+        ] = []  # queued while the peer does not read; resent if the connection is lost
 
     def connectionMade(self) -> None:  # noqa: N802
         super().connectionMade()
@@ -78,12 +80,12 @@
         self.dispatch()
 
     def has_unread_input(self) -> bool:
-        """A connection whose reading is paused counts too, unless the pause is for bad set-ups."""
+        """A connection whose reading is paused counts too, unless it has sent unusable set-ups."""
         return self.paused and not self.bad_setups or super().has_unread_input()
 
     def dispatch(self) -> None:
         """Passes set-ups to the core once all input that arrived with them is processed: many are withdrawn
-        at once, and those are then never sent to an exchange."""
+        in the same input, and those are then never sent to an exchange."""
         while self.undispatched and not self.processing_input and not self.end_code:
             self.frontend.driver.post(self.undispatched.pop(next(iter(self.undispatched))))
 
@@ -92,9 +94,9 @@
             len(self.output_buffer) + len(data) > self.frontend.output_share
             and self.frontend.buffered_bytes() > self.frontend.output_limit
         ):
-            # Limits the memory that many peers that do not read can take: once the limit for all of them
-            # is reached, each connection beyond its own share is closed.
-            self.close("out-overflow", "memory for callers", at_once=True)
+            # Limits the memory taken by output for peers that do not read: once the limit for all of them
+            # is exceeded, each connection beyond its own share is closed.
+            self.close("out-overflow", "output queued for all callers exceeds its memory limit", at_once=True)
         return super().send(data)
 
     def reject_bad_setup(self, uid: str) -> None:
@@ -113,7 +115,7 @@
         self.lines_counted = self.lines_counted + 1 if self.counted_at == now else 1
         self.counted_at = now
         if self.lines_counted >= MAX_LINES_PER_ITERATION:
-            # prevents a flood on one connection from delaying the others
+            # Prevents a flood on one connection from delaying the others.
             self.pause_reading(0)
         try:
             record = json.loads(line)
@@ -129,7 +131,7 @@
             self.frontend.check(self, uid)
             return
         if kind not in ("launch", "stop"):
-            return  # progress, acknowledged releases and kinds of later protocol versions need no action here
+            return  # progress, acknowledgements of releases and kinds of later versions need no action
         if not UID.match(uid):
             self.close("bad-line", "uid is not 16 hex digits")
         elif kind == "launch":
@@ -166,13 +168,14 @@
         self.connections: dict[CallerProtocol, None] = {}  # oldest first
         self.unanswered: dict[int, CallerProtocol] = {}  # set-ups: call -> where the final answer goes
         self.established: dict[int, tuple[CallerProtocol, str]] = {}  # call -> connection, uid
-        self.unsent_releases: list[bytes] = []  # for which no connection was open
-        self.setup_texts: dict[int, tuple[str, str, str]] = {}  # class, number called, description as given
+        self.unsent_releases: list[bytes] = []  # for which no connection that has carried calls was open
+        # call -> class, number called, description as given
+        self.setup_texts: dict[int, tuple[str, str, str]] = {}
         self.description_room = round(config.memory_mb * 2**20 * DESCRIPTION_MEMORY_SHARE)  # bytes left
         self.max_unanswered = round(config.memory_mb * MAX_UNANSWERED_PER_MB)
         wait_ms = round(config.settings.max_hold_off_s * 1000) if config.settings.hold_off_allowed else 0
         self.overload_meta = {"wait": str(wait_ms)} if wait_ms else {}  # for refusals by the limits here
-        self.eviction_at = 0  # the iteration whose new connections are about to be evicted for; 0: none
+        self.eviction_scheduled_at = 0  # event-loop iteration that scheduled the pending eviction; 0: none
         self.ready = False
         self.shutting_down = False
         self.waiting_checks: list[tuple[CallerProtocol, str]] = []  # received before the program was ready
@@ -197,14 +200,15 @@
     def close_idle_connections(self) -> None:
         """Closes unused and idle connections, now and every IDLE_CHECK_INTERVAL_S. Otherwise callers that
         vanish without closing theirs would hold descriptors indefinitely."""
-        now, with_calls = self.clock.now_us(), {origin[0] for origin in self.established.values()}
+        # `busy`: connections with established calls
+        now, busy = self.clock.now_us(), {pair[0] for pair in self.established.values()}
         for connection in list(self.connections):
             if connection.unanswered or connection.end_code:
                 continue
             if not connection.used and now - connection.opened_at > UNUSED_TIMEOUT_US:
                 connection.close("unused")
             elif (
-                connection not in with_calls
+                connection not in busy
                 and not connection.has_unread_input()
                 and now - connection.last_line_at
                 > (IDLE_TIMEOUT_US if connection.calls_carried else UNUSED_TIMEOUT_US)
@@ -218,28 +222,26 @@
     def limit_connections(self) -> None:
         """Schedules an eviction if there are too many connections: one for all that were accepted in an
         event-loop iteration, since each looks at every connection, which costs time in a flood."""
-        if not self.eviction_at and self.open_connections() > self.max_connections:
-            self.eviction_at = self.clock.now_us()
+        if not self.eviction_scheduled_at and self.num_open() > self.max_connections:
+            self.eviction_scheduled_at = self.clock.now_us()
             self.clock.callLater(0, self.evict_connections)
 
-    def open_connections(self) -> int:
+    def num_open(self) -> int:
         return sum(not connection.end_code for connection in self.connections)
 
     def evict_connections(self) -> None:
         """Closes connections over the limit, so that hundreds at once cannot use up the descriptors.
 
         Connections without an unanswered set-up are closed, the least important first: those that have sent
-        nothing usable, then those with nothing but checks and refused set-ups, then the longest idle.
-        Connections that have sent something usable are closed in order, not aborted: their last answer may
-        still be on its way. Connections with unread input and those just accepted are spared, since in a
-        flood the loop is late and a set-up in that input would be lost. Where there are no others, the newest
-        of those are closed, again the unused ones first.
+        nothing usable, then those with nothing but checks and refused set-ups, then those without established
+        calls; the longest idle first in each case. Connections that have sent something usable are closed in
+        order, not aborted: their last answer may still be on its way. Connections with unread input and those
+        just accepted are spared, since in a flood the loop is late and a set-up in that input would be lost.
+        Where there are no others, the newest of those are closed, again the unused ones first.
         """
-        eviction_at, self.eviction_at = self.eviction_at, 0
-        excess, with_calls = (
-            self.open_connections() - self.max_connections,
-            {origin[0] for origin in self.established.values()},
-        )
+        eviction_scheduled_at, self.eviction_scheduled_at = self.eviction_scheduled_at, 0
+        # `busy`: connections with established calls
+        excess, busy = self.num_open() - self.max_connections, {pair[0] for pair in self.established.values()}
         idle = sorted(
             (
                 connection
@@ -249,7 +251,7 @@
             key=lambda connection: (
                 connection.used,
                 connection.calls_carried > 0,
-                connection in with_calls,
+                connection in busy,
                 connection.last_line_at,
             ),
         )
@@ -257,7 +259,7 @@
         for connection in idle:
             if excess <= 0:
                 return
-            if connection.opened_at == eviction_at or connection.has_unread_input():
+            if connection.opened_at == eviction_scheduled_at or connection.has_unread_input():
                 spared.append(connection)
                 continue
             connection.close("crowded", at_once=not connection.used)
@@ -272,9 +274,10 @@
             arrival, texts = self.parse_setup(call, record)
             owner = self.unanswered.get(call) or self.established.get(call, (None,))[0]
             if owner is connection and self.setup_texts.get(call) == texts:
-                return  # a duplicate: the first one is answered
+                return  # a duplicate of an unanswered set-up: the first one gets the answer
             if owner is connection:
-                # The answers to the two, or an answer and a release, could not be distinguished: both end.
+                # The caller could not tell the answers to the two apart, or an answer from a release. Closing
+                # the connection also withdraws the first one if it is unanswered.
                 connection.close("id-reused", f"uid {uid}")
                 return
             if owner is not None:
@@ -291,7 +294,7 @@
             len(connection.unanswered) >= MAX_UNANSWERED_PER_CONNECTION
             or len(self.unanswered) >= self.max_unanswered
             or len(texts[2]) > self.description_room
-        ):  # limits the memory that thousands of set-ups can take
+        ):  # Limits the memory that thousands of set-ups can take.
             connection.send(encode_line("stop", uid, self.overload_meta, reason=CAUSE_NO_CIRCUIT))
             return
         self.unanswered[call] = connection
@@ -339,7 +342,7 @@
             raise ValueError(f"width {arrival.width_circuits!r} differs from that of the class")
         if arrival.destination < 0 or arrival.advice < -1:
             raise ValueError("dest or via is out of range")
-        # Protects the other calls on the exchange's connection: it closes that on a set-up it cannot read.
+        # Avoids the loss of other calls: an exchange closes its connection on a set-up that it cannot read.
         if not body or CONTROL_CHARACTERS.search(body):
             raise ValueError("body is empty or has control characters")
         if len(name) + len(key) + len(body.encode()) + FRAME_OVERHEAD_BYTES > MAX_MESSAGE_BYTES:
@@ -374,7 +377,7 @@
     # ---- effects
 
     def take_unanswered(self, call: int) -> tuple[CallerProtocol, str] | None:
-        """Removes a set-up that gets its final answer now: its connection and uid, or None if withdrawn."""
+        """Removes a set-up that is answered now; returns its connection and uid, None if it was withdrawn."""
         self.discard_texts(call)
         connection = self.unanswered.pop(call, None)
         if connection is None:
@@ -409,8 +412,8 @@
 
     def call_ended(self, effect: messages.CallEnded) -> None:
         """Sends the end of an established call: on the connection of its set-up, else on the one that has
-        carried most calls, else on the next one to bring a set-up. A connection that has carried no call may
-        belong to a peer that is not a caller at all."""
+        carried the most calls, else on the next one to bring a set-up. A connection that has carried no call
+        may belong to a peer that is not a caller at all."""
         connection, uid = self.established.pop(effect.call, (None, f"{effect.call:016x}"))
         self.send_release(
             encode_line("stop", uid, reason=CAUSE_FAILED if effect.cut else CAUSE_ENDED), connection
--- a/chutefork/net/clock.py
+++ b/chutefork/net/clock.py
@@ -43,11 +43,11 @@
         self._cached_now_us = 0
         super().doIteration(timeout)
 
-    def listenTCP(
+    def listenTCP(  # noqa: N802 (Twisted's name)
         self,
         port: int,
         factory: ServerFactory,
-        backlog: int = 50,  # noqa: N802
+        backlog: int = 50,
         interface: str = "",
     ) -> BoundedPort:
         listening_port = BoundedPort(port, factory, backlog, interface, self)
--- a/chutefork/net/connection.py
+++ b/chutefork/net/connection.py
@@ -17,7 +17,8 @@
 IO_CHUNK_BYTES = 16 * 1024  # passed to the receiver, or written to the transport, at a time
 INPUT_BUFFER_BYTES = 4 * IO_CHUNK_BYTES
 OUTPUT_BUFFER_BYTES = 256 * 1024
-CONTROL_CHARACTERS = re.compile(r"[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]")  # that no text contains: not tab, LF, CR
+# Except tab, LF and CR; no valid text contains them.
+CONTROL_CHARACTERS = re.compile(r"[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]")
 OUTPUT_HIGH_WATER_BYTES = 64 * 1024  # reading pauses while more output than this is queued
 
 CLOSE_TIMEOUT_S = 2.0  # for queued output to be sent after a close; then the connection is aborted
@@ -111,8 +112,8 @@
             return False
 
     def pause_reading(self, seconds: float) -> None:
-        """Suspends reading. Input received but not processed stays in the input buffer, later input stays in
-        the sender's machine."""
+        """Suspends reading. Input received but not processed stays in the input buffer; later input stays in
+        the socket's receive buffer and, once that is full, with the sender."""
         if not self.paused and not self.end_code:
             self.paused = True
             self.transport.pauseProducing()
--- a/chutefork/net/driver.py
+++ b/chutefork/net/driver.py
@@ -63,7 +63,7 @@
         if not self.running:
             self.run()
 
-    post = post_later
+    post = post_later  # the name used where no effect is being carried out
 
     def run(self) -> None:
         self.running = True
--- a/chutefork/net/exchanges.py
+++ b/chutefork/net/exchanges.py
@@ -27,6 +27,7 @@
 CLASS, TIME_LEFT, NUMBER, NOTE, RETRY_AFTER, GROUP, CAUSE, DESCRIPTION = 16, 19, 28, 37, 40, 43, 58, 61
 NORMAL_CLEARING = 16  # the cause in releases sent to exchanges
 
+# Cause numbers and notes in releases from exchanges
 OUTCOME_BY_CAUSE = {
     34: Outcome.REJECTED,
     17: Outcome.ERROR,
@@ -46,8 +47,10 @@
 # With no connection and no frame for this long, the calls at the exchange are over.
 HUB_DOWN_AFTER_US = 6_000_000
 MIN_ANSWER_TIMEOUT_US = 60_000
-SILENCE_GAPS = 40  # silence limit in mean gaps between frames: before any answer, or with calls only
-SILENCE_LIMITS_US = (150_000, 1_500_000)  # the least and the greatest value of that limit
+# Silence limit, in mean gaps between frames, before the first answer or while no set-up is pending.
+SILENCE_GAPS = 40
+# Minimum and maximum of that limit; the maximum also holds for the limit from the answer timeout.
+SILENCE_LIMITS_US = (150_000, 1_500_000)
 ANSWER_TIME_WINDOW = 16  # answers over which their time and its deviation are smoothed
 MAX_IDLE_SHARE = 0.9  # of the time after which exchanges close idle connections
 MAX_QUEUED_RELEASES = 10_000
@@ -68,7 +71,7 @@
 def decode_frame(data: bytes) -> tuple[int, int, dict[int, bytes]]:
     """Message type, call and parameters by code, of a frame without its length; ValueError if truncated."""
     if len(data) < 9:
-        raise ValueError(f"a message of {len(data)} bytes")
+        raise ValueError(f"frame too short: {len(data)} bytes")
     kind, call = struct.unpack_from("!BQ", data)
     offset, parameters = 9, {}
     while offset < len(data):
@@ -88,7 +91,7 @@
 
     role = "exchange"
     MAX_LENGTH = MAX_MESSAGE_BYTES
-    last_received_at = last_setup_at = 0
+    last_frame_at = last_setup_at = 0
     mean_gap_us = 0.0  # smoothed, between received frames
     found_silent = False  # at the last check
 
@@ -100,13 +103,14 @@
 
     def connectionMade(self) -> None:  # noqa: N802
         super().connectionMade()
-        self.last_received_at = self.opened_at
+        self.last_frame_at = self.opened_at
         self.link.connected(self)
 
     def is_silent(self, now: int) -> bool:
-        """Whether no frame has come for longer than a working connection is ever silent while a set-up is
-        pending on it or calls are established at the exchange. A set-up that was overdue already when the
-        last frame came does not count: its answer alone is lost, which says nothing of the connection."""
+        """Whether no frame has come for longer than a working connection ever goes without one while a set-up
+        is pending on it or calls are established at the exchange. A set-up that was overdue already when the
+        last frame came does not count: its answer alone is lost, which says nothing about the connection.
+        The limit doubles with each connection in a row that was closed as silent, up to five times."""
         (min_us, max_us), doublings = SILENCE_LIMITS_US, min(self.link.consecutive_silences, 5)
         gap_limit_us = (
             round(self.mean_gap_us * SILENCE_GAPS) if self.messages_received > SILENCE_GAPS else max_us
@@ -117,7 +121,7 @@
             (
                 setup_at
                 for setup_at in self.pending_setups.values()
-                if setup_at + limit_us > self.last_received_at
+                if setup_at + limit_us > self.last_frame_at
             ),
             None,
         )
@@ -125,7 +129,7 @@
             return False
         if waiting_since is None:
             waiting_since, limit_us = 0, gap_limit_us << doublings
-        return now - max(waiting_since, self.last_received_at) > limit_us
+        return now - max(waiting_since, self.last_frame_at) > limit_us
 
     def resumeProducing(self) -> None:  # noqa: N802
         super().resumeProducing()
@@ -136,8 +140,8 @@
             return
         self.messages_received += 1
         now = self.clock.now_us()
-        self.mean_gap_us += (now - self.last_received_at - self.mean_gap_us) / min(self.messages_received, 50)
-        self.last_received_at = self.link.last_received_at = now
+        self.mean_gap_us += (now - self.last_frame_at - self.mean_gap_us) / min(self.messages_received, 50)
+        self.last_frame_at = self.link.last_frame_at = now
         try:
             kind, call, parameters = decode_frame(string)
             self.link.frame_received(kind, call, parameters)
@@ -180,9 +184,10 @@
         # waiting for the connection: call -> set-up, when queued
         self.queued_setups: dict[int, tuple[messages.SetUp, int]] = {}
         self.queued_releases: list[bytes] = []
-        self.last_received_at = self.clock.now_us()
-        self.consecutive_silences = 0  # connections in a row closed as silent: the exchange itself may be
-        self.mean_answer_us = self.answer_deviation_us = 0.0  # smoothed time to an answer, mean deviation
+        self.last_frame_at = self.clock.now_us()
+        # connections in a row closed as silent; from the second on the exchange itself counts as silent
+        self.consecutive_silences = 0
+        self.mean_answer_us = self.answer_deviation_us = 0.0  # smoothed time to an answer, its mean deviation
 
     def connect(self) -> None:
         self.retry_timer = None
@@ -229,7 +234,7 @@
             self.retry_timer = self.clock.callLater(delay_us / 1e6, self.connect)
         for call in unsent:
             self.backend.driver.post(messages.AttemptEnded(call, self.hub.name, Outcome.UNREACHABLE))
-        is_down = refused or self.clock.now_us() - self.last_received_at > HUB_DOWN_AFTER_US
+        is_down = refused or self.clock.now_us() - self.last_frame_at > HUB_DOWN_AFTER_US
         if refused:
             self.queued_releases.clear()  # a process that is not there holds no calls
         if is_down:  # the exchange cannot report the ends of its calls, so their callers get them from here
@@ -241,7 +246,7 @@
             if self.keep_connection and self.retry_timer is None and not self.connecting:
                 self.retry_timer = self.clock.callLater(RETRY_DELAYS_US[0] / 1e6, self.connect)
         pending, connection.pending_setups = connection.pending_setups, {}
-        # One broken connection says nothing of the exchange. If the next one is silent too, the exchange
+        # One broken connection says nothing about the exchange. If the next one is silent too, the exchange
         # itself does not answer.
         outcome = (
             Outcome.TIMEOUT
@@ -266,13 +271,10 @@
         silent_before, connection.found_silent = connection.found_silent, connection.is_silent(now)
         if silent_before and connection.found_silent:
             self.consecutive_silences += 1
-            silence_ms, timeout_ms = (
-                (now - connection.last_received_at) // 1000,
-                self.answer_timeout_us() // 1000,
-            )
+            silent_ms, timeout_ms = (now - connection.last_frame_at) // 1000, self.answer_timeout_us() // 1000
             connection.close(
                 "silent",
-                f"for {silence_ms} ms, {len(connection.pending_setups)} set-ups open, answer timeout"
+                f"for {silent_ms} ms, {len(connection.pending_setups)} set-ups open, answer timeout"
                 f" {timeout_ms} ms",
                 at_once=True,
             )
@@ -286,9 +288,9 @@
 
     def renew_if_idle(self) -> None:
         """Closes a connection that the exchange may soon close as idle. A set-up that crosses the
-        exchange's close would be reset, and the call held back for the release time."""
+        exchange's close would be reset, and its call held back until the release wait (`release_s`) ends."""
         old = self.connection
-        idle_us = self.clock.now_us() - max(old.last_received_at, old.last_setup_at)
+        idle_us = self.clock.now_us() - max(old.last_frame_at, old.last_setup_at)
         if idle_us > MAX_IDLE_SHARE * self.backend.idle_close_s * 1e6 and not old.pending_setups:
             self.connection = None
             old.close("renewed")
@@ -371,7 +373,7 @@
                 post(messages.UnmatchedAnswer(call, name))
                 return
             description = parameters.get(DESCRIPTION, b"").decode("utf-8")
-            # Keeps a corrupted answer from the callers.
+            # Prevents a corrupted answer from reaching the callers.
             if not description or CONTROL_CHARACTERS.search(description):
                 raise ValueError("answer with an empty description or with control characters")
             self.setup_completed(call, answered=True)
@@ -401,8 +403,8 @@
                     raise ValueError(f"group state out of range: {text[:40]!r}")
                 post(messages.GroupStateReported(name, free, total))
         elif kind not in IGNORED_TYPES:
-            # A corrupted frame must not be ignored as an unknown message type: on connections with such
-            # frames no valid one followed.
+            # A corrupted frame must not be ignored as an unknown message type: on a connection where one
+            # occurred, no valid frame followed.
             raise ValueError(f"unknown message type {kind}")
 
 
@@ -460,7 +462,7 @@
             link.connection = None
         if not effect.accepts_setups:
             unsent, link.queued_setups = link.queued_setups, {}
-            for call in unsent:  # once connected, these would still be sent to the draining exchange
+            for call in unsent:  # Otherwise they would still be sent to the draining exchange once connected.
                 self.driver.post_later(messages.AttemptEnded(call, link.hub.name, Outcome.NOT_SENT))
         if effect.keep_connection:
             if link.retry_timer is None:
--- a/chutefork/net/http.py
+++ b/chutefork/net/http.py
@@ -175,6 +175,7 @@
         return HttpStream(self.requester, self.clock)
 
     def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:  # noqa: N802
+        # UserError: the attempt was stopped because the requester's address has changed.
         peer, code = connector.getDestination(), "moved" if reason.check(error.UserError) else "unreached"
         log(f"end role={self.requester.role} peer={peer.host}:{peer.port} code={code} age_ms=0 in=0 out=0")
         self.requester.on_disconnected()
