--- a/chutefork/__main__.py
+++ b/chutefork/__main__.py
@@ -33,7 +33,10 @@
 
 
 class PlatformNode:
-    """The caller frontend, the exchange backend and the command channel, with a core of their own."""
+    """The caller frontend (JSON lines), the exchange backend (binary frames) and the command channel.
+
+    They have a core of their own, apart from that of the SIP side.
+    """
 
     def __init__(self, config: Config, clock: CachedClockReactor) -> None:
         self.clock = clock
--- a/chutefork/config.py
+++ b/chutefork/config.py
@@ -26,7 +26,7 @@
     name: str
     listen: tuple[str, int]
     channel_address: str  # host:port of the command channel
-    initial_cursor: int  # the command channel is polled from this number on
+    initial_cursor: int  # the command channel is polled for commands after this number
     initial_commands: list  # commands to apply at start, in the command channel's form
     settings: api.Settings
     class_names: tuple[str, ...]  # in the order of settings.classes
@@ -86,24 +86,21 @@
 
 
 def parse_address(text: str, key: str) -> tuple[str, int]:
-    """Splits `host:port`; port 0 is allowed. Otherwise raises ConfigError, naming `key`."""
+    """Splits `host:port`; port 0 is allowed. Anything else raises ConfigError, naming `key`."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) < 65536:
         raise ConfigError(f"{key}: not of the form host:port: {text!r}")
     return host, int(port)
 
 
-def parse_settings(
-    section: ConfigSection, seed: int
-) -> tuple[api.Settings, tuple[str, ...], tuple[str, ...]]:
-    """The controller's settings, and the names of the call classes and of the tenants in index order."""
-    family_info, limits, rules = (
-        section.section("family_info"),
-        section.section("limits"),
-        section.section("rules"),
-    )
-    services = section.sections("services")
-    widths, call_lengths_s = family_info.numbers("widths"), family_info.numbers("call_length_s")
+def parse_settings(config: ConfigSection, seed: int) -> tuple[api.Settings, tuple[str, ...], tuple[str, ...]]:
+    """The controller's settings, and the names of the call classes and of the tenants in index order.
+
+    `config` is the `settings` section. Raises ConfigError.
+    """
+    network, limits, rules = config.section("family_info"), config.section("limits"), config.section("rules")
+    services = config.sections("services")
+    widths, call_lengths_s = network.numbers("widths"), network.numbers("call_length_s")
     for key, values in (("widths", widths), ("call_length_s", call_lengths_s)):
         if len(values) != len(services):
             raise ConfigError(
@@ -121,20 +118,20 @@
         )
         for index, service in enumerate(services)
     )
-    accounts = section.sections("accounts") if "accounts" in section.value else []
-    if family_info.text("network_form") != "network":
+    accounts = config.sections("accounts") if "accounts" in config.value else []
+    if network.text("network_form") != "network":
         raise ConfigError("settings.family_info.network_form: only 'network' is supported")
     try:
         settings = api.Settings(
             seed=seed,
-            own_number=int(family_info.number("self_no")),
-            controllers=int(section.number("balancers")),
+            own_number=int(network.number("self_no")),
+            controllers=int(config.number("balancers")),
             pools_form=False,
             classes=classes,
             tenants=tuple(api.Tenant(account.number("quota_per_s")) for account in accounts),
-            over_share_worth=section.number("over_share_worth"),
-            release_s=family_info.number("release_s"),
-            resend_s=family_info.number("retransmit_s"),
+            over_share_worth=config.number("over_share_worth"),
+            release_s=network.number("release_s"),
+            resend_s=network.number("retransmit_s"),
             max_attempts=int(limits.number("max_attempts")),
             probes_allowed=limits.flag("probes"),
             messages_allowed=limits.flag("peers"),
@@ -147,7 +144,7 @@
             warm_up_s=rules.number("warm_up_s"),
             tip_multiple=rules.number("tip_multiple"),
             fall_s=rules.number("fall_s"),
-            tick_s=section.number("tick_s"),
+            tick_s=config.number("tick_s"),
         )
     except ValueError as error:
         raise ConfigError(f"settings: {error}") from None
@@ -156,7 +153,10 @@
 
 
 def parse(text: str) -> Config:
-    """Raises ConfigError, or what int() and the JSON parser raise for infinite numbers and deep nesting."""
+    """Parses and validates the JSON text.
+
+    Raises ConfigError, or what int() and the JSON parser raise for infinite numbers and deep nesting.
+    """
     try:
         root = ConfigSection(json.loads(text))
     except ValueError as error:
@@ -198,7 +198,7 @@
         return parse(Path(path).read_text(encoding="utf-8"))
     except OSError as error:
         raise ConfigError(f"EDGE_CONFIG: {path!r} cannot be read: {error.strerror}") from None
-    except (ValueError, OverflowError, RecursionError) as error:  # not UTF-8, or a number like 1e999
+    except (ValueError, OverflowError, RecursionError) as error:  # not UTF-8, 1e999, deep nesting
         raise ConfigError(f"configuration: invalid: {type(error).__name__}: {error}") from None
 
 
--- a/chutefork/consul.py
+++ b/chutefork/consul.py
@@ -1,7 +1,7 @@
 """Hub membership from Consul's catalogue and health endpoints, and this program's own service registration.
 
-Membership is followed with blocking queries. Every request goes over a keepalive connection that is made
-again, with exponential backoff, whenever it fails.
+Membership is followed with blocking queries. Each query, and the registration, has a persistent connection
+of its own, which is reopened with exponential backoff after each failure.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class ConsulClient:
-    """Base of the Consul clients: one HTTP connection, made again with exponential backoff when it fails.
+    """Base of the Consul clients: one HTTP connection, reopened with exponential backoff when it fails.
 
     `HttpStream` calls `on_connected`, `on_response` and `on_disconnected`; subclasses implement
     `send_next_request`.
@@ -75,7 +75,7 @@
 
 
 class BlockingQuery(ConsulClient):
-    """Repeats one blocking query for as long as the program runs.
+    """Repeats one blocking query until `stopped` is set.
 
     `on_result` gets the decoded JSON list whenever Consul's index has changed.
     """
@@ -106,7 +106,7 @@
         if index != self.index:
             self.on_result(result)
         # An index that goes backwards means that Consul has lost its state, as by a restart. A query with the
-        # old index would block until the new one passed it, so the next query starts from 0.
+        # old index would block until Consul's new index passed it, so the next query starts from 0.
         self.index = index if index >= self.index else 0
         self.failures = 0
         if self.stream is not None and not self.stream.end_code:
@@ -135,7 +135,7 @@
         self.is_ready = is_ready
         self.registered = False
         self.deregistering = False
-        self.pending_request = ""  # sent and unanswered: "register", "check", "leave" or none
+        self.pending_request = ""  # sent and unanswered: "register", "check" or "leave"; empty: none
 
     def send_next_request(self) -> None:
         """Sends the next request unless one is pending: register, then check renewals, deregister at exit."""
--- a/chutefork/sip/agent.py
+++ b/chutefork/sip/agent.py
@@ -26,7 +26,7 @@
 
     `on_invite` is called with the transaction of each INVITE outside a dialog, `on_cancel` with that of an
     INVITE that was cancelled before its final response, `on_early_bye` with each BYE that matches no dialog.
-    It returns whether the BYE ended a call that had no final response yet.
+    `on_early_bye` returns whether the BYE ended a call that had no final response yet.
     """
 
     def __init__(
@@ -76,7 +76,7 @@
         on_response: Callable[[sip.Response], None] = lambda response: None,
         on_failure: Callable[[str], None] = lambda reason: None,
     ) -> ClientTransaction:
-        """Sends a request in a new client transaction, which calls back as described there."""
+        """Sends a request in a new client transaction; for the callbacks see ClientTransaction."""
         return self.layer.send_request(request, target, on_response, on_failure)
 
     # ---- incoming requests
--- a/chutefork/sip/backend.py
+++ b/chutefork/sip/backend.py
@@ -41,7 +41,10 @@
 
 
 class Leg:
-    """One attempt. `active` while the core waits for its outcome or has its call established."""
+    """One attempt to set up a call at a hub.
+
+    `active` while the core waits for its outcome or has its call established.
+    """
 
     def __init__(self, backend: SipBackend, effect: messages.SetUp, hub: messages.Hub) -> None:
         self.backend = backend
@@ -54,11 +57,11 @@
         self.cancel_pending = False
         self.cancel_sent = False
         self.dialogs: dict[str, Dialog] = {}  # by remote tag: a forked INVITE can get several 2xx
-        self.acks: dict[str, tuple[bytes, Target]] = {}  # by remote tag
+        self.acks: dict[str, tuple[bytes, Target]] = {}  # by remote tag: those sent, to repeat them
         self.trying_timer = None
         call_request = backend.frontend.unanswered[effect.call].call_request
         self.via_tandem = hub.number != call_request.destination
-        self.delayed_offer = not call_request.body
+        self.delayed_offer = not call_request.body  # the SDP offer comes in the hub's 200
         address, _, transport = hub.address.partition(";")
         host, _, port = address.rpartition(":")
         target = Target((transport or "udp").upper(), host, int(port))
@@ -95,7 +98,7 @@
         self.trying_timer = None
 
     def trying_timeout(self) -> None:
-        """Not even a 100 came: the hub is down or blocked, and there is still time for another one."""
+        """Not even a 100 came: the hub is down or blocked, and there is still time to try another."""
         self.trying_timer = None
         self.finish(Outcome.TIMEOUT)
         self.abandon()
@@ -184,7 +187,7 @@
             self.send_cancel()
 
     def send_cancel(self) -> None:
-        """Must not be called before a provisional response has come (RFC 3261 9.1)."""
+        """Sends one CANCEL. Must not be called before a provisional response has come (RFC 3261 9.1)."""
         if not self.cancel_sent:
             self.cancel_sent = True
             self.agent.send_request(self.agent.layer.derived_request(self.request, "CANCEL"), self.target)
@@ -195,7 +198,7 @@
             self.finish(Outcome.OK)
 
     def ack_received(self, request: sip.Request) -> None:
-        """Never called: hubs send no INVITE."""
+        """Ignores the ACK: hubs send no INVITE, so none is expected from them."""
 
 
 class SipBackend:
@@ -206,7 +209,7 @@
         self.agent = agent
         self.config = config
         self.frontend: SipFrontend
-        self.hubs: dict[str, tuple[messages.Hub, bool]] = {}  # by name; whether it accepts set-ups
+        self.hubs: dict[str, tuple[messages.Hub, bool]] = {}  # by name; True: accepts set-ups
         self.by_call: dict[int, Leg] = {}
 
     def remove(self, leg: Leg) -> None:
--- a/chutefork/sip/dialog.py
+++ b/chutefork/sip/dialog.py
@@ -41,7 +41,7 @@
         self.route_set = route_set
         self.local_sequence = sequence
         self.remote_sequence = -1
-        self.source = source  # the peer's transport address, as seen in its messages
+        self.source = source  # where the peer's INVITE came from, or ours was sent to
 
     @classmethod
     def of_uas(cls, request: sip.Request, local_tag: str, source: Target) -> Dialog:
@@ -121,7 +121,7 @@
     def target_of(self, next_hop: sip.URI) -> Target:
         """The transport address of a URI.
 
-        Host names are not resolved: for a URI with one, the source address of the peer's messages is used.
+        Host names are not resolved: for a URI with one, it is `source`.
         """
         requested = (next_hop.parameters.get("transport") or self.source.transport).upper()
         transport = requested if requested in ("UDP", "TCP") else self.source.transport
--- a/chutefork/sip/frontend.py
+++ b/chutefork/sip/frontend.py
@@ -53,10 +53,10 @@
         self.call_request = call_request
         self.tag = sip.new_tag()
         self.dialog: Dialog | None = None
-        self.confirmed = False  # the ACK for the 200 has come
+        self.confirmed = False  # the ACK for the 200 has come, or is no longer awaited
         self.ended = False
         self.ok_response = b""
-        self.timers: list = []
+        self.timers: list = []  # retransmission of the 200, then the end of the wait for its ACK
 
     def send_ringing(self) -> None:
         contact = ("Contact", self.agent.contact(self.server.source.transport))
@@ -105,7 +105,7 @@
             self.agent.send_bye(self.dialog)
 
     def ack_timeout(self) -> None:
-        """No ACK came within 64*T1: the call is not established and ends (RFC 3261 13.3.1.4)."""
+        """No ACK came within 64*T1: the session is ended with a BYE (RFC 3261 13.3.1.4)."""
         self.hang_up()
 
     def bye_received(self) -> None:
@@ -217,7 +217,7 @@
             self.driver.post(messages.Withdrawn(call))
 
     def early_bye_received(self, request: sip.Request) -> bool:
-        """A caller may also give up with a BYE in the early dialog; True if a call was ended."""
+        """A caller may also give up with a BYE in the early dialog (RFC 3261 15). True if a call ended."""
         for call, sip_call in list(self.unanswered.items()):
             invite = sip_call.server.request
             if (
--- a/chutefork/sip/message.py
+++ b/chutefork/sip/message.py
@@ -86,7 +86,7 @@
         raise BadMessage("CSeq method differs from the request method")
     if length is not None:
         if not 0 <= length <= len(message.body):
-            raise BadMessage("Content-Length exceeds the body received")
+            raise BadMessage("Content-Length is negative or exceeds the body received")
         message.body = message.body[:length]
     return message
 
@@ -95,7 +95,7 @@
     """The response to a request that `parse` rejected, with the status `code`.
 
     None for responses and ACKs, which are never answered, and where a header that a response copies (Via,
-    From, To, Call-ID, CSeq) is missing.
+    From, To, Call-ID, CSeq) is missing, or Via is malformed.
     """
     head = re.sub(rb"\r\n[ \t]+", b" ", data.partition(b"\r\n\r\n")[0])
     lines = head.decode("utf-8", "replace").split("\r\n")
@@ -154,7 +154,7 @@
     sequence: int,
     max_forwards: int = 70,
 ) -> Request:
-    """A request with the mandatory headers and no body; `from_header` and `to_header` include their tags."""
+    """A request with the mandatory headers and no body; `from_header` and `to_header` include any tags."""
     request = Request(method, URI.parse(uri))
     request.via = [via]
     request.headers.set("Max-Forwards", str(max_forwards))
@@ -192,6 +192,8 @@
 def add_received_and_rport(request: Request | Response, host: str, port: int) -> None:
     """Records the source address of a request in its topmost Via (RFC 3261 18.2.1 and RFC 3581).
 
+    For a request that could not be parsed, the response, which has the same Via, is passed instead.
+
     The header text is edited in place: serialised again by the parser, a branch with unusual characters would
     be changed, and the sender could not match the response.
     """
--- a/chutefork/sip/node.py
+++ b/chutefork/sip/node.py
@@ -17,7 +17,7 @@
 from .transactions import Timing
 from .transport import SipTransport
 
-# After SIGTERM, calls are accepted until Consul's clients can have seen that the service is deregistered.
+# After SIGTERM, calls are accepted for this long: Consul's clients need time to see the deregistration.
 ACCEPT_S = 0.75
 BYE_WAIT_S = 1.0  # to send the BYEs of calls that are established at the end
 
--- a/chutefork/sip/settings.py
+++ b/chutefork/sip/settings.py
@@ -1,4 +1,7 @@
-"""Loads the configuration of the SIP side (`deploy/sip.toml`); errors start with the key of the bad value."""
+"""Loads the configuration of the SIP side (`deploy/sip.toml`).
+
+Errors start with the key of the bad value, or with the path of a file that cannot be read.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Numbers that start with `prefix`; `class_index` and `tenant` are indices into the settings' tuples."""
+    """Where and how calls to numbers that start with `prefix` are sent.
+
+    `destination` is the number of an exchange, `class_index` and `tenant` are indices into the tuples of
+    Settings.
+    """
 
     prefix: str
     destination: int
@@ -28,9 +35,9 @@
     address: str
     service: str  # the service whose instances are the hubs
     register: str  # the service that this process registers itself as; empty: none
-    ttl_s: float
-    wait_s: float
-    token: str
+    ttl_s: float  # of the check of this process's service
+    wait_s: float  # of a blocking query
+    token: str  # sent as X-Consul-Token; empty: none
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,15 +46,15 @@
 
     name: str
     listen: tuple[str, int]
-    advertise: str
+    advertise: str  # host:port for Via and Contact; empty: the address listened on
     t1_s: float
-    trying_s: float
-    peers: frozenset[str]
+    trying_s: float  # wait for the first response to an INVITE, before another hub is tried
+    peers: frozenset[str]  # source addresses whose X-Transit header is trusted
     routes: tuple[Route, ...]
     consul: ConsulConfig
     settings: Settings
     connect_timeout_s: float
-    sockets: int
+    sockets: int  # file descriptors that SIP may use
 
     def route(self, number: str) -> Route | None:
         """The route with the longest matching prefix; None if no route matches."""
@@ -68,20 +75,16 @@
     settings_section = root.section("settings")
     settings, classes, tenants = parse_settings(settings_section, randbits(64))
     routes = []
-    for route_section in root.sections("routes"):
-        prefix, class_name, tenant = (
-            route_section.text("prefix"),
-            route_section.text("class"),
-            route_section.text("tenant", ""),
-        )
+    for section in root.sections("routes"):
+        prefix, class_name, tenant = section.text("prefix"), section.text("class"), section.text("tenant", "")
         if class_name not in classes:
-            raise ConfigError(f"{route_section.path}.class: {class_name!r} is not in settings.services")
+            raise ConfigError(f"{section.path}.class: {class_name!r} is not in settings.services")
         if tenant and tenant not in tenants:
-            raise ConfigError(f"{route_section.path}.tenant: {tenant!r} is not in settings.accounts")
+            raise ConfigError(f"{section.path}.tenant: {tenant!r} is not in settings.accounts")
         routes.append(
             Route(
                 prefix,
-                int(route_section.number("destination")),
+                int(section.number("destination")),
                 classes.index(class_name),
                 tenants.index(tenant) if tenant else 0,
             )
@@ -100,7 +103,7 @@
         parse_address(advertise, "advertise")
     peers = root.get("peers", list, [])
     if not all(isinstance(peer, str) for peer in peers):
-        raise ConfigError("peers: every item must be a string")
+        raise ConfigError("peers: must be a list of addresses as strings")
     consul = root.section("consul")
     address = consul.text("address")
     parse_address(address, "consul.address")
--- a/chutefork/sip/transactions.py
+++ b/chutefork/sip/transactions.py
@@ -1,6 +1,6 @@
 """The four transaction state machines of RFC 3261 section 17, with the accepted state of RFC 6026.
 
-Timers are named by the RFCs' letters, A to M.
+Timers are named by the RFCs' letters, A to M, except for C (see InviteClientTransaction).
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
     def __init__(self, t1_s: float = 0.5, t2_s: float = 4.0, t4_s: float = 5.0) -> None:
         self.t1_s, self.t2_s, self.t4_s = t1_s, t2_s, t4_s
-        # Timers B, F, H, J, L and M; also D, which must be at least 32 s.
+        # Timers B, F, H, J, L and M; also D, which lasts 32 s if this is shorter.
         self.timeout_s = 64 * t1_s
 
 
@@ -115,7 +115,7 @@
         )
 
     def ack_received(self) -> None:
-        """An ACK for a 3xx to 6xx response; the ACK for a 2xx is a request of its own."""
+        """An ACK for a 3xx to 6xx response. One for a 2xx goes to the layer's `on_ack`."""
         if self.state == "completed":
             self.state = "confirmed"
             self.stop_timers("G", "H")
@@ -175,7 +175,8 @@
 class InviteClientTransaction(ClientTransaction):
     """RFC 3261 17.1.1: timers A, B and D; M and the accepted state of RFC 6026.
 
-    Timer C limits the wait for a final response after a CANCEL.
+    The timer called C here limits the wait for a final response after a CANCEL, for which RFC 3261 has no
+    letter; its own timer C is a proxy's.
     """
 
     def start(self) -> None:
@@ -191,7 +192,7 @@
         )
 
     def stop_retransmissions(self) -> None:
-        """For a hub that drains: if the first INVITE was lost, a retransmission would be a new call there."""
+        """For a hub that drains: if no INVITE has reached it, a retransmission would be a new call there."""
         self.stop_timers("A")
 
     def response_received(self, response: sip.Response) -> None:
@@ -226,7 +227,7 @@
         self.layer.transport.send(bytes(ack), self.target)
 
     def start_cancel_timeout(self) -> None:
-        """Ends the transaction 64*T1 after its CANCEL, with or without a final response (RFC 3261 9.1)."""
+        """Ends the transaction if no final response comes within 64*T1 after its CANCEL (RFC 3261 9.1)."""
         self.start_timer("C", self.timing.timeout_s, lambda: self.fail("timeout"))
 
 
@@ -266,8 +267,8 @@
 class TransactionLayer:
     """Matches each message to its transaction.
 
-    `on_request` is called with the transaction of each new request, `on_ack` with each ACK that belongs to no
-    INVITE transaction, which is one for a 2xx.
+    `on_request` is called with the transaction of each new request, `on_ack` with each ACK that is not for a
+    3xx to 6xx response of a known transaction, such as one for a 2xx.
     """
 
     def __init__(self, transport: SipTransport, clock: CachedClockReactor, timing: Timing) -> None:
@@ -287,7 +288,10 @@
 
     @staticmethod
     def server_key(request: sip.Request, method: str) -> tuple:
-        """The key of a server transaction (RFC 3261 17.2.3); `method` is INVITE for an ACK or a CANCEL."""
+        """The key of a server transaction (RFC 3261 17.2.3).
+
+        `method` is the request's, but INVITE to find the transaction that an ACK or a CANCEL refers to.
+        """
         via = request.via[0]
         branch = via.parameters.get("branch") or ""
         if branch.startswith(sip.BRANCH_COOKIE):
@@ -360,7 +364,11 @@
 
     @staticmethod
     def derived_request(request: sip.Request, method: str) -> sip.Request:
-        """A CANCEL, or the ACK for a 3xx to 6xx response: it has the INVITE's headers, branch and route."""
+        """A CANCEL, or the ACK for a 3xx to 6xx response (RFC 3261 9.1 and 17.1.1.3).
+
+        It has the Request-URI, topmost Via with its branch, From, To, Call-ID, CSeq number and Route of the
+        INVITE.
+        """
         headers = request.headers
         derived = sip.new_request(
             method,
--- a/chutefork/sip/transport.py
+++ b/chutefork/sip/transport.py
@@ -170,7 +170,7 @@
         self.sip_transport = sip_transport
 
     def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:  # noqa: N802
-        if datagram.strip(b"\r\n\0"):
+        if datagram.strip(b"\r\n\0"):  # otherwise a keepalive
             self.sip_transport.message_received(datagram, Target("UDP", addr[0], addr[1]))
 
 
