--- a/chutefork/__main__.py
+++ b/chutefork/__main__.py
@@ -33,9 +33,11 @@
 
 
 class PlatformNode:
-    """The caller frontend (JSON lines), the exchange backend (binary frames) and the command channel.
+    """All parts of the platform's protocol, their start and their shutdown.
 
-    They have a core of their own, apart from that of the SIP side.
+    That protocol is the operator's own: callers' JSON lines (the frontend), exchanges' binary frames (the
+    backend), and the HTTP command channel with the list of exchanges. These parts have a core of their own,
+    apart from that of the SIP side.
     """
 
     def __init__(self, config: Config, clock: CachedClockReactor) -> None:
--- a/chutefork/call_controller.py
+++ b/chutefork/call_controller.py
@@ -4,10 +4,10 @@
 comes with each event, random numbers come from a generator seeded in the settings; it reads no clock and does
 no I/O. Times are seconds on the host's clock, names that end in `_s` are durations in seconds.
 
-Overload control is method B of the OSA gateway paper with static rejection, applied to each remote exchange:
-each reading compares the number of unanswered set-ups that this exchange has sent there with a threshold,
-five readings in a row on the same side of it move a load level (0 to 2), and the level sets the chance that a
-set-up is refused.
+Overload control is method B of the paper "Overload Control Mechanisms for the OSA Gateway (Open Service
+Access)" with static rejection, applied to each remote exchange: each reading compares the number of
+unanswered set-ups that this exchange has sent there with a threshold, five readings in a row on the same side
+of it move a load level (0 to 2), and the level sets the chance that a set-up is refused.
 """
 
 from __future__ import annotations
@@ -699,10 +699,10 @@
             )
 
     def retry_after_release(self, now: float, call_id: int, call: Call) -> None:
-        """Routes the call again when the release of its last attempt is over, or refuses it.
+        """Routes the call again after the release wait of its last attempt, or refuses it.
 
-        No call may be sent again before that. It is refused if its aim or the caller leaves no time for the
-        wait, if it is in transit, or if it has no attempts left.
+        No call may be sent again before the wait is over. It is refused if its aim or the caller
+        leaves no time for the wait, if it is in transit, or if it has no attempts left.
         """
         retry_at = now + self.settings.release_s + self.settings.tick_s
         aim_s = self.settings.classes[call.arrival.class_index].aim_s
--- a/chutefork/consul.py
+++ b/chutefork/consul.py
@@ -95,7 +95,10 @@
         )
 
     def on_response(self, status: int, headers: dict[str, str], body: bytes) -> None:
-        """Raises ValueError, KeyError or TypeError for an invalid response, which ends the connection."""
+        """Passes on the result if the index has changed, and sends the next query.
+
+        Raises ValueError, KeyError or TypeError for an invalid response, which ends the connection.
+        """
         if status != 200:
             raise ValueError(f"status {status}")
         index, result = int(headers["x-consul-index"]), json.loads(body)
@@ -273,7 +276,10 @@
 
     @staticmethod
     def state_from_checks(checks: list[dict]) -> SwitchState:
-        """The worst check decides. Maintenance mode drains the hub, though Consul reports it as critical."""
+        """The state of a hub, decided by its worst check.
+
+        Maintenance mode drains the hub, though Consul reports it as critical.
+        """
         if any(str(check["CheckID"]).startswith(MAINTENANCE_CHECK_PREFIXES) for check in checks):
             return SwitchState.DRAINING
         states = {STATE_BY_CHECK_STATUS.get(check["Status"], SwitchState.DRAINING) for check in checks}
@@ -283,7 +289,10 @@
         return SwitchState.READY
 
     def publish_if_changed(self) -> None:
-        """Waits until both queries have been answered. While Consul is unreachable, the last list holds."""
+        """Passes on the joined list if it has changed, once both queries have been answered.
+
+        While Consul is unreachable, the last list holds.
+        """
         if self.hubs_by_id is None or self.states_by_id is None:
             return
         hubs = tuple(
--- a/chutefork/interface.py
+++ b/chutefork/interface.py
@@ -98,12 +98,18 @@
     hold_off_allowed: bool  # `Refuse` may ask the caller to wait before a redial
     max_hold_off_s: float
     list_on_request: bool  # the list of switches comes only on `Subscribe`
-    ask_within_s: float  # after a failure the list has to be requested again within this time
-    drain_grace_s: float  # after the announcement of a drain, new set-ups have to stop within this time
+    # Only with `list_on_request`: a controller without a subscription that has not requested the list for
+    # this long counts as informed of what was listed that long ago.
+    ask_within_s: float
+    # After the drain or removal of a switch has been announced to this controller, its set-ups to that switch
+    # have to stop within this time.
+    drain_grace_s: float
     cold_share: float  # share of its capacity that a switch has directly after its start, in (0, 1]
     warm_up_s: float  # from a switch's start until it has its full capacity
-    tip_multiple: float  # load at which a switch collapses, as a multiple of its present capacity
-    fall_s: float  # time window over which that load is counted
+    # A switch that has just started fails for good if it gets more than `tip_multiple` times what it can
+    # process at that moment, kept up for `fall_s`. Set-ups that it refuses count too.
+    tip_multiple: float
+    fall_s: float
     tick_s: float  # time resolution of the host
 
     def __post_init__(self) -> None:
--- a/chutefork/net/callers.py
+++ b/chutefork/net/callers.py
@@ -80,12 +80,14 @@
         self.dispatch()
 
     def has_unread_input(self) -> bool:
-        """A connection whose reading is paused counts too, unless it has sent unusable set-ups."""
+        """Whether input is unprocessed; also True while reading is paused, unless after unusable set-ups."""
         return self.paused and not self.bad_setups or super().has_unread_input()
 
     def dispatch(self) -> None:
-        """Passes set-ups to the core once all input that arrived with them is processed: many are withdrawn
-        in the same input, and those are then never sent to an exchange."""
+        """Passes set-ups to the core once all input that arrived with them is processed.
+
+        Many are withdrawn in the same input, and those are then never sent to an exchange.
+        """
         while self.undispatched and not self.processing_input and not self.end_code:
             self.frontend.driver.post(self.undispatched.pop(next(iter(self.undispatched))))
 
@@ -100,8 +102,11 @@
         return super().send(data)
 
     def reject_bad_setup(self, uid: str) -> None:
-        """Answers an unusable set-up with a failure. So that a peer that keeps sending them cannot occupy the
-        event loop, reading from it pauses after each, and after MAX_BAD_SETUPS its connection is closed."""
+        """Answers an unusable set-up with a failure.
+
+        So that a peer that keeps sending them cannot occupy the event loop, reading from it pauses after
+        each, and after MAX_BAD_SETUPS its connection is closed.
+        """
         self.bad_setups += 1
         self.send(encode_line("stop", uid, reason=CAUSE_FAILED))
         if self.bad_setups >= MAX_BAD_SETUPS:
@@ -152,8 +157,11 @@
 
 
 class CallerFrontend:
-    """All callers' connections: accepts set-ups within the limits of memory and descriptors, and sends each
-    its final answer and each established call its end."""
+    """All callers' connections.
+
+    Accepts set-ups within the limits of memory and descriptors, and sends each its final answer and each
+    established call its end.
+    """
 
     def __init__(self, driver: Driver, config: Config, clock: CachedClockReactor) -> None:
         self.driver = driver
@@ -183,8 +191,11 @@
         self.factory.noisy = False
 
     def check(self, connection: CallerProtocol, uid: str) -> None:
-        """Answers a health check; not before the list of exchanges is known and a connection to each of them
-        has been tried."""
+        """Answers a health check.
+
+        Waits with the answer until the list of exchanges is known and a connection to each of them has been
+        tried.
+        """
         if self.ready:
             connection.send(encode_line("checked", uid, reason=0 if self.shutting_down else 1))
         elif len(self.waiting_checks) < MAX_WAITING_CHECKS:
@@ -198,8 +209,10 @@
             self.check(connection, uid)
 
     def close_idle_connections(self) -> None:
-        """Closes unused and idle connections, now and every IDLE_CHECK_INTERVAL_S. Otherwise callers that
-        vanish without closing theirs would hold descriptors indefinitely."""
+        """Closes unused and idle connections, now and every IDLE_CHECK_INTERVAL_S.
+
+        Otherwise callers that vanish without closing theirs would hold descriptors indefinitely.
+        """
         # `busy`: connections with established calls
         now, busy = self.clock.now_us(), {pair[0] for pair in self.established.values()}
         for connection in list(self.connections):
@@ -220,8 +233,11 @@
         return sum(len(connection.output_buffer) for connection in self.connections)
 
     def limit_connections(self) -> None:
-        """Schedules an eviction if there are too many connections: one for all that were accepted in an
-        event-loop iteration, since each looks at every connection, which costs time in a flood."""
+        """Schedules an eviction if there are too many connections.
+
+        There is one for all that were accepted in an event-loop iteration, since each eviction looks at every
+        connection, which costs time in a flood.
+        """
         if not self.eviction_scheduled_at and self.num_open() > self.max_connections:
             self.eviction_scheduled_at = self.clock.now_us()
             self.clock.callLater(0, self.evict_connections)
@@ -305,8 +321,10 @@
         connection.dispatch()
 
     def parse_setup(self, call: int, record: dict) -> tuple[messages.Arrival, tuple[str, str, str]]:
-        """The arrival for the core, and the class, number called and description for the exchange. Raises
-        ValueError, KeyError, TypeError or OverflowError for an unusable set-up."""
+        """The arrival for the core, and the class, number called and description for the exchange.
+
+        Raises ValueError, KeyError, TypeError or OverflowError for an unusable set-up.
+        """
         meta, body = record.get("meta"), record.get("body", "")
         if not isinstance(meta, dict) or not isinstance(body, str):
             raise TypeError("meta must be an object and body a string")
@@ -411,9 +429,12 @@
             origin[0].send(encode_line("stop", origin[1], reason=CAUSE_FAILED))
 
     def call_ended(self, effect: messages.CallEnded) -> None:
-        """Sends the end of an established call: on the connection of its set-up, else on the one that has
-        carried the most calls, else on the next one to bring a set-up. A connection that has carried no call
-        may belong to a peer that is not a caller at all."""
+        """Sends the end of an established call.
+
+        It goes on the connection of the call's set-up, else on the one that has carried the most calls, else
+        on the next one to bring a set-up. A connection that has carried no call may belong to a peer that is
+        not a caller at all.
+        """
         connection, uid = self.established.pop(effect.call, (None, f"{effect.call:016x}"))
         self.send_release(
             encode_line("stop", uid, reason=CAUSE_FAILED if effect.cut else CAUSE_ENDED), connection
--- a/chutefork/net/channel.py
+++ b/chutefork/net/channel.py
@@ -52,8 +52,10 @@
         self.poll()
 
     def move(self, address: str) -> None:
-        """Reconnects to another address and goes on from the present cursor: commands that the old address
-        has not delivered come from the new one."""
+        """Reconnects to another address and goes on from the present cursor.
+
+        Commands that the old address has not delivered come from the new one.
+        """
         self.address, self.failures = address, 0
         if self.stream is not None:
             self.stream.close("moved", at_once=True)
--- a/chutefork/net/connection.py
+++ b/chutefork/net/connection.py
@@ -104,16 +104,21 @@
         return not self.paused and len(self.output_buffer) <= OUTPUT_HIGH_WATER_BYTES and not self.end_code
 
     def has_unread_input(self) -> bool:
-        """Whether input has arrived that is not processed yet. A set-up in it already counts as accepted, so
-        such a connection is not closed to make room."""
+        """Whether input has arrived that is not processed yet.
+
+        A set-up in it already counts as accepted, so such a connection is not closed to make room.
+        """
         try:
             return bool(len(self.input_buffer) or self.transport.getHandle().recv(1, socket.MSG_PEEK))
         except OSError:
             return False
 
     def pause_reading(self, seconds: float) -> None:
-        """Suspends reading. Input received but not processed stays in the input buffer; later input stays in
-        the socket's receive buffer and, once that is full, with the sender."""
+        """Suspends reading.
+
+        Input received but not processed stays in the input buffer; later input stays in the socket's receive
+        buffer and, once that is full, with the sender.
+        """
         if not self.paused and not self.end_code:
             self.paused = True
             self.transport.pauseProducing()
@@ -133,8 +138,11 @@
             self.transport.resumeProducing()
 
     def send(self, data: bytes) -> bool:
-        """Queues one message for sending. False if the connection has ended or ends now by overflow of the
-        output buffer; True does not mean that the peer has received the message."""
+        """Queues one message for sending.
+
+        Returns False if the connection has ended or ends now by overflow of the output buffer; True does not
+        mean that the peer has received the message.
+        """
         if self.closed or self.end_code:
             return False
         if not self.output_buffer.append(data):
@@ -163,8 +171,11 @@
         self.write_blocked = True
 
     def close(self, code: str, detail: str = "", at_once: bool = False) -> None:
-        """Closes the connection; `code` and `detail` go into its log line. Queued output is sent first,
-        within CLOSE_TIMEOUT_S, unless `at_once` aborts the connection. Does nothing if it has ended."""
+        """Closes the connection; `code` and `detail` go into its log line.
+
+        Queued output is sent first, within CLOSE_TIMEOUT_S, unless `at_once` aborts the connection. Does
+        nothing if the connection has ended.
+        """
         if self.closed or self.end_code:
             return
         self.end_code, self.end_detail = code, detail
--- a/chutefork/net/driver.py
+++ b/chutefork/net/driver.py
@@ -57,13 +57,17 @@
         }
 
     def post_later(self, event: messages.Event) -> None:
-        """Processes an event. One that arises while an effect is carried out is queued until all effects of
-        the present event are done; otherwise the event is processed before this returns."""
+        """Processes an event, at once unless effects are being carried out.
+
+        While effects are being carried out, the event is queued until all effects of the present event are
+        done. `post_later` and `post` are the same function: the name `post_later` marks calls made while
+        effects are being carried out, whose event is therefore processed after them.
+        """
         self.pending_events.append(event)
         if not self.running:
             self.run()
 
-    post = post_later  # the name used where no effect is being carried out
+    post = post_later  # the name for all other calls
 
     def run(self) -> None:
         self.running = True
--- a/chutefork/net/exchanges.py
+++ b/chutefork/net/exchanges.py
@@ -69,7 +69,10 @@
 
 
 def decode_frame(data: bytes) -> tuple[int, int, dict[int, bytes]]:
-    """Message type, call and parameters by code, of a frame without its length; ValueError if truncated."""
+    """Message type, call and parameters by code, of a frame without its length.
+
+    Raises ValueError for a truncated frame.
+    """
     if len(data) < 9:
         raise ValueError(f"frame too short: {len(data)} bytes")
     kind, call = struct.unpack_from("!BQ", data)
@@ -107,10 +110,13 @@
         self.link.connected(self)
 
     def is_silent(self, now: int) -> bool:
-        """Whether no frame has come for longer than a working connection ever goes without one while a set-up
-        is pending on it or calls are established at the exchange. A set-up that was overdue already when the
-        last frame came does not count: its answer alone is lost, which says nothing about the connection.
-        The limit doubles with each connection in a row that was closed as silent, up to five times."""
+        """Whether no frame has come for longer than a working connection ever goes without one.
+
+        This counts while a set-up is pending on it or calls are established at the exchange. A set-up that
+        was overdue already when the last frame came does not count: its answer alone is lost, which says
+        nothing about the connection. The limit doubles with each connection in a row that was closed as
+        silent, up to five times.
+        """
         (min_us, max_us), doublings = SILENCE_LIMITS_US, min(self.link.consecutive_silences, 5)
         gap_limit_us = (
             round(self.mean_gap_us * SILENCE_GAPS) if self.messages_received > SILENCE_GAPS else max_us
@@ -210,15 +216,20 @@
         self.flush()
 
     def flush(self) -> None:
-        """Sends queued set-ups while the connection accepts output. They wait here, not in the connection's
-        output buffer, so that they can still be taken back when the exchange drains."""
+        """Sends queued set-ups while the connection accepts output.
+
+        They wait here, not in the connection's output buffer, so that they can still be taken back when the
+        exchange drains.
+        """
         while self.queued_setups and self.connection is not None and not self.connection.write_blocked:
             call = next(iter(self.queued_setups))
             self.send(*self.queued_setups.pop(call))
 
     def connect_failed(self, reason: object) -> None:
-        """Ends the queued set-ups, of which none has reached the exchange. A refused connection proves that
-        no process is listening there."""
+        """Ends the queued set-ups, of which none has reached the exchange.
+
+        A refused connection proves that no process is listening there.
+        """
         self.connecting = False
         refused = reason.check(error.ConnectionRefusedError) is not None
         if not self.failed_connects or self.queued_setups:
@@ -260,10 +271,12 @@
             self.backend.driver.post(messages.AttemptEnded(call, self.hub.name, outcome))
 
     def check_silence(self, now: int) -> None:
-        """Closes a connection that stays open but no longer works: a frame was cut short on it, or the
-        machine is gone. This ends its pending set-ups at once, and the next connection shows whether the
-        exchange is there. It must be silent at two checks in a row, so that frames that have arrived in the
-        meantime are read first."""
+        """Closes a connection that stays open but no longer works.
+
+        On such a connection a frame was cut short, or the machine is gone. Closing it ends its pending
+        set-ups at once, and the next connection shows whether the exchange is there. It must be silent at two
+        checks in a row, so that frames that have arrived in the meantime are read first.
+        """
         connection = self.connection
         if connection is None or not self.accepts_setups:
             # A draining exchange sends few frames, and accepts no new connection for the calls it still has.
@@ -287,8 +300,11 @@
             self.connection.close(code)
 
     def renew_if_idle(self) -> None:
-        """Closes a connection that the exchange may soon close as idle. A set-up that crosses the
-        exchange's close would be reset, and its call held back until the release wait (`release_s`) ends."""
+        """Closes a connection that the exchange may soon close as idle.
+
+        A set-up that crosses the exchange's close would be reset, and its call held back until the release
+        wait (`release_s`) ends.
+        """
         old = self.connection
         idle_us = self.clock.now_us() - max(old.last_frame_at, old.last_setup_at)
         if idle_us > MAX_IDLE_SHARE * self.backend.idle_close_s * 1e6 and not old.pending_setups:
@@ -354,8 +370,10 @@
             self.mean_answer_us += (elapsed_us - self.mean_answer_us) / ANSWER_TIME_WINDOW
 
     def answer_timeout_us(self) -> int:
-        """Computed like a retransmission timeout, from the smoothed answer time and four times its deviation;
-        0 before the first answer."""
+        """The answer timeout, computed like a retransmission timeout; 0 before the first answer.
+
+        It is the smoothed answer time plus four times its deviation, at least MIN_ANSWER_TIMEOUT_US.
+        """
         return (
             max(round(self.mean_answer_us + 4 * self.answer_deviation_us), MIN_ANSWER_TIMEOUT_US)
             if self.mean_answer_us
@@ -363,8 +381,10 @@
         )
 
     def frame_received(self, kind: int, call: int, parameters: dict[int, bytes]) -> None:
-        """Passes a frame on to the core as an event. ValueError if it cannot be used; its connection is then
-        closed."""
+        """Passes a frame on to the core as an event.
+
+        Raises ValueError for an unusable frame; its connection is then closed.
+        """
         post, name = self.backend.driver.post, self.hub.name
         if kind == ANSWER:
             if call not in self.connection.pending_setups:
--- a/chutefork/net/http.py
+++ b/chutefork/net/http.py
@@ -20,8 +20,10 @@
 
 
 class Requester(Protocol):
-    """The user of a connection, whose `address` is `host:port`. `on_connected` is called when the connection
-    is open, `on_response` for each response, `on_disconnected` when it has closed or could not be made.
+    """The user of a connection to `address`, which is `host:port`.
+
+    `on_connected` is called when the connection is open, `on_response` for each response, `on_disconnected`
+    when it has closed or could not be opened.
 
     `on_response` may raise ValueError, KeyError, TypeError, AttributeError, OverflowError or RecursionError
     where the response is not usable; the connection is then closed with the code `bad-answer`.
@@ -61,8 +63,10 @@
         body: bytes = b"",
         headers: tuple[tuple[str, str], ...] = (),
     ) -> None:
-        """Sends a request; the previous one must have been answered. Without a complete response within the
-        timeout the connection is aborted with the code `silent`."""
+        """Sends a request; the previous one must have been answered.
+
+        Without a complete response within the timeout the connection is aborted with the code `silent`.
+        """
         self.state, self.length, self.chunked, self.headers = "status", -1, False, {}
         self.body_parts: list[bytes] = []
         self.part_remaining = self.body_size = 0
--- a/chutefork/simulator_adapter.py
+++ b/chutefork/simulator_adapter.py
@@ -122,7 +122,10 @@
 
 
 def parse_settings(params: BootParameters, seed: int) -> api.Settings:
-    """Raises ValueError, with the path or the field first in the text, for a missing or unusable value."""
+    """The controller's settings from the boot parameters.
+
+    Raises ValueError, with the path or the field first in the text, for a missing or unusable value.
+    """
     class_count = params.count("services")
     widths, lengths_s = params.numbers("family_info.widths"), params.numbers("family_info.call_length_s")
     for path, values in (("family_info.widths", widths), ("family_info.call_length_s", lengths_s)):
@@ -367,7 +370,7 @@
 
 
 def read_bytes(body: bytes, offset: int, size: int) -> bytes:
-    """Raises ProtocolError if fewer than `size` bytes are left."""
+    """The `size` bytes at `offset`. Raises ProtocolError if fewer are left."""
     if offset + size > len(body):
         raise ProtocolError("truncated record")
     return body[offset : offset + size]
--- a/chutefork/sip/backend.py
+++ b/chutefork/sip/backend.py
@@ -98,7 +98,10 @@
         self.trying_timer = None
 
     def trying_timeout(self) -> None:
-        """Not even a 100 came: the hub is down or blocked, and there is still time to try another."""
+        """Abandons the attempt, since not even a 100 has come.
+
+        The hub is down or blocked, and there is still time to try another.
+        """
         self.trying_timer = None
         self.finish(Outcome.TIMEOUT)
         self.abandon()
--- a/chutefork/sip/frontend.py
+++ b/chutefork/sip/frontend.py
@@ -81,7 +81,7 @@
         self.timers.append(self.agent.clock.callLater(timing.timeout_s, self.ack_timeout))
 
     def schedule_retransmission(self, interval_s: float) -> None:
-        """The 200 is retransmitted until its ACK comes, over TCP as well (RFC 3261 13.3.1.4)."""
+        """Retransmits the 200 until its ACK comes, over TCP as well (RFC 3261 13.3.1.4)."""
         self.timers.insert(0, self.agent.clock.callLater(interval_s, self.retransmit, interval_s))
 
     def retransmit(self, interval_s: float) -> None:
@@ -105,7 +105,7 @@
             self.agent.send_bye(self.dialog)
 
     def ack_timeout(self) -> None:
-        """No ACK came within 64*T1: the session is ended with a BYE (RFC 3261 13.3.1.4)."""
+        """Ends the session with a BYE, since no ACK has come within 64*T1 (RFC 3261 13.3.1.4)."""
         self.hang_up()
 
     def bye_received(self) -> None:
@@ -217,7 +217,7 @@
             self.driver.post(messages.Withdrawn(call))
 
     def early_bye_received(self, request: sip.Request) -> bool:
-        """A caller may also give up with a BYE in the early dialog (RFC 3261 15). True if a call ended."""
+        """Ends a call whose caller gives up with a BYE in the early dialog (RFC 3261 15); True if so."""
         for call, sip_call in list(self.unanswered.items()):
             invite = sip_call.server.request
             if (
--- a/chutefork/sip/transactions.py
+++ b/chutefork/sip/transactions.py
@@ -115,7 +115,7 @@
         )
 
     def ack_received(self) -> None:
-        """An ACK for a 3xx to 6xx response. One for a 2xx goes to the layer's `on_ack`."""
+        """Handles an ACK for a 3xx to 6xx response. One for a 2xx goes to the layer's `on_ack`."""
         if self.state == "completed":
             self.state = "confirmed"
             self.stop_timers("G", "H")
@@ -192,7 +192,10 @@
         )
 
     def stop_retransmissions(self) -> None:
-        """For a hub that drains: if no INVITE has reached it, a retransmission would be a new call there."""
+        """Stops timer A, for a hub that drains.
+
+        If no INVITE has reached it, a retransmission would be a new call there.
+        """
         self.stop_timers("A")
 
     def response_received(self, response: sip.Response) -> None:
@@ -221,7 +224,7 @@
             self.send_ack(response)
 
     def send_ack(self, response: sip.Response) -> None:
-        """The ACK for a 3xx to 6xx response, which belongs to this transaction (RFC 3261 17.1.1.3)."""
+        """Sends the ACK for a 3xx to 6xx response, which belongs to this transaction (RFC 3261 17.1.1.3)."""
         ack = self.layer.derived_request(self.request, "ACK")
         ack.headers.set("To", response.headers["To"])
         self.layer.transport.send(bytes(ack), self.target)
