--- a/tests/controller_harness.py
+++ b/tests/controller_harness.py
@@ -62,7 +62,8 @@
     """
 
     def __init__(self, exchanges=4, circuits=20.0, **changes):
-        """`circuits`: free ones of each trunk group; `changes`: fields of SETTINGS to replace."""
+        """`exchanges`: number of remote ones; `circuits`: free ones of each trunk group; `changes`: fields of
+        SETTINGS to replace."""
         self.settings = replace(SETTINGS, **changes)
         self.controller = CallController(self.settings)
         self.now = 100.0
--- a/tests/sip_harness.py
+++ b/tests/sip_harness.py
@@ -325,7 +325,7 @@
             self.condition.notify_all()
 
     def wait_for_queries(self, index, times=2):
-        """Waits until the program has processed an index: it sends both its queries from there on."""
+        """Waits until the program has processed an index: both its queries then ask for changes after it."""
         wait_until(
             lambda: sum(query[1] == index for query in list(self.queries)) >= times, f"queries from {index}"
         )
--- a/tests/test_controller_guarantees.py
+++ b/tests/test_controller_guarantees.py
@@ -1,4 +1,8 @@
-"""The five rules, each tested on one call controller alone."""
+"""The five rules of the call controller, each tested on one controller alone.
+
+A call is answered in time, and once; a draining exchange gets no set-up; a processor that has just started
+gets no more than its budget; no call is sent again before the release of its last attempt.
+"""
 
 import pytest
 
@@ -119,7 +123,8 @@
 
 @pytest.mark.parametrize("controllers", [28, 66, 300])
 def test_any_number_of_controllers_together_keep_the_budget_of_a_cold_switch(controllers):
-    """Each exchange offers calls all the time; the set-ups of all are summed over windows of `fall_s`.
+    """Each exchange offers calls all the time; the set-ups of all are summed over windows of `fall_s`, as the
+    processor receives them.
 
     The controllers of a large network would exceed the budget if each sent one set-up at the same time.
     """
@@ -143,7 +148,7 @@
         capacity_share = 0.3 + 0.7 * window_start / 12.0
         sent = sum(1 for sent_at in times if window_start < sent_at <= window_start + 1.0)
         budget_shares.append(sent / (3.0 * capacity_share * 2 * warm_per_s * 1.0))
-    # One set-up per controller and window would be 28 / 18 and more.
+    # One set-up per controller and window would be 28 / 18 of the budget, or more.
     assert 0.2 < max(budget_shares) < 1.0
 
 
@@ -166,6 +171,7 @@
     harness.report_circuits(1, 0.0)
     actions = harness.call(dest=1, in_transit=True, advice=2)
     assert sent_to(actions) == [] and len(final_answers(actions)) == 1
+    # No call is sent to exchange 0, the controller's own.
     assert sent_to(harness.call(dest=0)) == [] and sent_to(harness.call(dest=0, in_transit=True)) == []
 
 
@@ -178,7 +184,7 @@
     )
 
 
-def test_the_switch_list_is_requested_where_it_comes_only_on_request():
+def test_a_switch_list_sent_only_on_request_is_requested_again_in_time_after_a_failure():
     harness = ControllerHarness(list_on_request=True)
     actions = harness.update_list(kind=ListKind.FAILED)
     timer = only_action(actions, SetTimer)
--- a/tests/test_overload_levels.py
+++ b/tests/test_overload_levels.py
@@ -101,13 +101,13 @@
     assert harness.exchange(1).level == 1
 
 
-def test_processor_full_is_a_reading_over_and_keeps_readings_over_for_its_wait():
+def test_processor_full_is_a_reading_over_and_keeps_readings_over_for_a_time():
     harness = ControllerHarness()
     harness.call(dest=1)
     harness.ended(1, 101, Outcome.REJECTED, Reason.PROCESSOR_FULL)
     assert harness.exchange(1).consecutive_over == 1
     take_reading(harness)
-    assert harness.exchange(1).consecutive_over == 2  # otherwise the empty count would be under
+    assert harness.exchange(1).consecutive_over == 2  # by the count alone (0) it would be under
     harness.advance(10.0)
     take_reading(harness)
     assert harness.exchange(1).consecutive_over == 0 and harness.exchange(1).consecutive_under == 1
@@ -159,7 +159,7 @@
     assert sent_to(actions) == [] and len(final_answers(actions)) == 1
 
 
-def test_the_advised_tandem_is_chosen_first():
+def test_a_new_choice_of_a_tandem_begins_with_the_advised_one():
     for tandem in (2, 3, 4):
         harness = ControllerHarness()
         harness.report_circuits(1, 0.0)
@@ -395,7 +395,7 @@
     assert sent_to(harness.call(dest=150)) == [250]
 
 
-def test_the_choice_of_a_tandem_checks_at_most_as_many_as_a_call_has_attempts():
+def test_the_choice_of_a_tandem_checks_the_advised_one_and_at_most_max_attempts_others():
     harness = ControllerHarness(exchanges=300, circuits=0.0)
     checked = []
     tandem_unavailable = harness.controller.tandem_unavailable
@@ -416,6 +416,7 @@
 
 
 def test_a_call_of_no_worth_is_not_refused_at_level_0():
+    """Its chance of refusal, weighted by its worth, would be 0 ** 0, which is 1."""
     harness = ControllerHarness(classes=(CLASS, replace(CLASS, worth=0.0)))
     harness.call(dest=2)
     assert sent_to(harness.call(dest=1, class_index=1)) == [101]
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -30,7 +30,7 @@
         released = caller.read()
         self.assertEqual((released["kind"], released["uid"], released["reason"]), ("stop", A, 16))
 
-    def test_refusal_is_immediate_and_says_when_to_retry(self):
+    def test_refusal_is_immediate_and_final_and_says_when_to_retry(self):
         caller = self.caller()
         began = time.monotonic()
         caller.launch(A, left=9000)
@@ -123,7 +123,7 @@
     def test_release_of_a_call_from_before_a_restart_reaches_a_caller(self):
         caller = self.caller()
         self.establish_call(caller, B)
-        self.exchange1.release(C, 16)
+        self.exchange1.release(C, 16)  # unknown here, as a call set up before a restart is
         released = caller.read()
         self.assertEqual((released["kind"], released["uid"]), ("stop", C))
 
@@ -147,7 +147,7 @@
         began = time.monotonic()
         self.exchange1.accept()
         self.assertLess(time.monotonic() - began, 0.6)
-        # The call may be established there, its answer lost.
+        # The call may be established there with its answer lost, so it is released before the retry.
         self.assertEqual(self.exchange1.read()[:2], (12, A))
         self.assertEqual(self.exchange1.read()[:2], (1, A))
         self.exchange1.answer(A)
@@ -172,7 +172,7 @@
         self.assertLess(time.monotonic() - began, 0.6)
         self.program.wait_log("end role=exchange", "code=silent", "2 set-ups open")
 
-    def test_corrupted_answer_closes_its_connection_and_pending_set_ups_are_retried(self):
+    def test_corrupted_answer_closes_its_connection_and_pending_set_ups_are_released_and_retried(self):
         for number, (length, kind, rest) in enumerate(
             (
                 (20, 123, b"\x3d\x00\x0812345678"),
@@ -475,7 +475,7 @@
         for caller in unused:
             self.assertIsNone(caller.read())
 
-    def test_connections_with_only_checks_are_closed_before_those_that_carry_calls(self):
+    def test_connections_with_only_checks_are_closed_before_those_that_have_carried_calls(self):
         carrier = self.caller()
         self.establish_call(carrier)
         self.exchange1.release(A, 16)
@@ -590,7 +590,7 @@
         self.assert_closed_with(b"x" * 20000, "long-line")
         self.assertEqual(self.program.log_lines("fault "), [])
 
-    def test_set_up_with_bad_fields_is_failed_and_later_set_ups_are_accepted(self):
+    def test_set_ups_with_bad_fields_are_failed_and_only_the_eighth_closes_their_connection(self):
         caller = self.caller()
         for meta in (
             {},
@@ -645,7 +645,7 @@
 
 
 class Shutdown(PlatformCase):
-    def test_sigterm_still_accepts_answers_open_set_ups_and_exits_with_zero(self):
+    def test_after_sigterm_set_ups_are_still_accepted_and_answered_and_the_exit_code_is_zero(self):
         caller = self.caller()
         caller.launch(A, left=2500)
         self.exchange1.read()
--- a/tests/test_sip.py
+++ b/tests/test_sip.py
@@ -174,7 +174,7 @@
         silent = self.hub1.expect("INVITE")
         started = time.monotonic()
         invite = self.hub2.expect("INVITE")
-        self.assertGreaterEqual(time.monotonic() - started, 0.3 + 0.3)
+        self.assertGreaterEqual(time.monotonic() - started, 0.3 + 0.3)  # trying_ms, then release_s
         self.assertEqual(invite.get("X-Transit"), "0")
         self.hub2.reply(invite, 200, ANSWER)
         answer = self.caller.expect(200)
@@ -239,7 +239,7 @@
         self.caller.send_in_dialog("ACK", answer, body=SDP)
         self.assertEqual(self.hub1.expect("ACK").body, SDP)
 
-    def test_rejected_requests_get_matching_status_code(self):
+    def test_rejected_requests_and_options_get_matching_status_codes(self):
         for method, code, options in (
             ("INVITE", 404, {"number": "999"}),
             ("INVITE", 420, {"extra": ("Require: 100rel",)}),
@@ -314,7 +314,7 @@
         self.hub1.reply(self.hub1.expect("BYE"), 200)
         self.assertEqual(self.program.wait_for_exit(), 0)
 
-    def test_drain_announced_by_consul(self):
+    def test_hub_draining_in_consul_gets_no_new_calls_and_its_calls_end_when_it_is_removed(self):
         self.establish_call()
         self.consul.set_service("hub-1", status="warning")
         self.consul.wait_for_queries(self.consul.index)
@@ -533,7 +533,7 @@
 
 
 class ConfigurationTests(unittest.TestCase):
-    def test_error_for_bad_file_names_its_key(self):
+    def test_invalid_file_ends_the_program_and_names_the_key(self):
         text = (ROOT / "deploy" / "sip.toml").read_text().replace("enabled = false", "enabled = true")
         with tempfile.TemporaryDirectory() as folder:
             for old, new, key in (
