--- a/chutefork/__main__.py
+++ b/chutefork/__main__.py
@@ -33,7 +33,12 @@
 
 
 class PlatformNode:
-    """The caller frontend, the exchange backend and the command channel, with a core of their own."""
+    """All parts of the platform's protocol, their start and their shutdown.
+
+    That protocol is the operator's own: callers' JSON lines (the frontend), exchanges' binary frames (the
+    backend), and the HTTP command channel with the list of exchanges. These parts have a core of their own,
+    apart from that of the SIP side.
+    """
 
     def __init__(self, config: Config, clock: CachedClockReactor) -> None:
         self.clock = clock
--- a/chutefork/consul.py
+++ b/chutefork/consul.py
@@ -1,7 +1,7 @@
 """Hub membership from Consul's catalogue and health endpoints, and this program's own service registration.
 
-Membership is followed with blocking queries. Every request goes over a keepalive connection that is made
-again, with exponential backoff, whenever it fails.
+Membership is followed with blocking queries. Each query, and the registration, has a persistent connection
+of its own, which is reopened with exponential backoff after each failure.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class ConsulClient:
-    """Base of the Consul clients: one HTTP connection, made again with exponential backoff when it fails.
+    """Base of the Consul clients: one HTTP connection, reopened with exponential backoff when it fails.
 
     `HttpStream` calls `on_connected`, `on_response` and `on_disconnected`; subclasses implement
     `send_next_request`.
@@ -75,7 +75,7 @@
 
 
 class BlockingQuery(ConsulClient):
-    """Repeats one blocking query for as long as the program runs.
+    """Repeats one blocking query until `stopped` is set.
 
     `on_result` gets the decoded JSON list whenever Consul's index has changed.
     """
@@ -95,7 +95,10 @@
         )
 
     def on_response(self, status: int, headers: dict[str, str], body: bytes) -> None:
-        """Raises ValueError, KeyError or TypeError for an invalid response, which ends the connection."""
+        """Passes on the result if the index has changed, and sends the next query.
+
+        Raises ValueError, KeyError or TypeError for an invalid response, which ends the connection.
+        """
         if status != 200:
             raise ValueError(f"status {status}")
         index, result = int(headers["x-consul-index"]), json.loads(body)
@@ -106,7 +109,7 @@
         if index != self.index:
             self.on_result(result)
         # An index that goes backwards means that Consul has lost its state, as by a restart. A query with the
-        # old index would block until the new one passed it, so the next query starts from 0.
+        # old index would block until Consul's new index passed it, so the next query starts from 0.
         self.index = index if index >= self.index else 0
         self.failures = 0
         if self.stream is not None and not self.stream.end_code:
@@ -135,7 +138,7 @@
         self.is_ready = is_ready
         self.registered = False
         self.deregistering = False
-        self.pending_request = ""  # sent and unanswered: "register", "check", "leave" or none
+        self.pending_request = ""  # sent and unanswered: "register", "check" or "leave"; empty: none
 
     def send_next_request(self) -> None:
         """Sends the next request unless one is pending: register, then check renewals, deregister at exit."""
@@ -273,7 +276,10 @@
 
     @staticmethod
     def state_from_checks(checks: list[dict]) -> SwitchState:
-        """The worst check decides. Maintenance mode drains the hub, though Consul reports it as critical."""
+        """The state of a hub, decided by its worst check.
+
+        Maintenance mode drains the hub, though Consul reports it as critical.
+        """
         if any(str(check["CheckID"]).startswith(MAINTENANCE_CHECK_PREFIXES) for check in checks):
             return SwitchState.DRAINING
         states = {STATE_BY_CHECK_STATUS.get(check["Status"], SwitchState.DRAINING) for check in checks}
@@ -283,7 +289,10 @@
         return SwitchState.READY
 
     def publish_if_changed(self) -> None:
-        """Waits until both queries have been answered. While Consul is unreachable, the last list holds."""
+        """Passes on the joined list if it has changed, once both queries have been answered.
+
+        While Consul is unreachable, the last list holds.
+        """
         if self.hubs_by_id is None or self.states_by_id is None:
             return
         hubs = tuple(
--- a/chutefork/net/http.py
+++ b/chutefork/net/http.py
@@ -20,8 +20,10 @@
 
 
 class Requester(Protocol):
-    """The user of a connection, whose `address` is `host:port`. `on_connected` is called when the connection
-    is open, `on_response` for each response, `on_disconnected` when it has closed or could not be made.
+    """The user of a connection to `address`, which is `host:port`.
+
+    `on_connected` is called when the connection is open, `on_response` for each response, `on_disconnected`
+    when it has closed or could not be opened.
 
     `on_response` may raise ValueError, KeyError, TypeError, AttributeError, OverflowError or RecursionError
     where the response is not usable; the connection is then closed with the code `bad-answer`.
@@ -61,8 +63,10 @@
         body: bytes = b"",
         headers: tuple[tuple[str, str], ...] = (),
     ) -> None:
-        """Sends a request; the previous one must have been answered. Without a complete response within the
-        timeout the connection is aborted with the code `silent`."""
+        """Sends a request; the previous one must have been answered.
+
+        Without a complete response within the timeout the connection is aborted with the code `silent`.
+        """
         self.state, self.length, self.chunked, self.headers = "status", -1, False, {}
         self.body_parts: list[bytes] = []
         self.part_remaining = self.body_size = 0
@@ -175,6 +179,7 @@
         return HttpStream(self.requester, self.clock)
 
     def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:  # noqa: N802
+        # UserError: the attempt was stopped because the requester's address has changed.
         peer, code = connector.getDestination(), "moved" if reason.check(error.UserError) else "unreached"
         log(f"end role={self.requester.role} peer={peer.host}:{peer.port} code={code} age_ms=0 in=0 out=0")
         self.requester.on_disconnected()
